--- a/core/flow/gaps.go
+++ b/core/flow/gaps.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Bounds of the silence that makes an engine suspect.
+// Timeouts after which a silent engine is suspect.
 const (
-	FirstTokenPatience = 2 * time.Second        // FirstTokenPatience is the wait for the first token of an attempt, prefill included.
-	MinPatience        = 150 * time.Millisecond // MinPatience is the shortest silence that counts.
-	MaxPatience        = time.Second            // MaxPatience keeps detection within the users' 3 s resume bound.
+	FirstTokenPatience = 2 * time.Second        // FirstTokenPatience is the timeout of the first token, with prefill.
+	MinPatience        = 150 * time.Millisecond // MinPatience is the least timeout between two tokens.
+	MaxPatience        = time.Second            // MaxPatience leaves time to resume within the required 3 s.
 )
 
 const (
-	gapWeight    = 8 // gapWeight is the inverse weight of a new gap in the mean, as in TCP's round-trip estimate.
-	gapSpread    = 4 // gapSpread is the inverse weight of a new gap in the deviation.
-	gapTolerance = 6 // gapTolerance is the number of deviations that normal jitter may reach.
+	meanDivisor      = 8 // inverse weight of a new gap in the mean, as in TCP's round-trip estimate
+	deviationDivisor = 4 // inverse weight of a new gap in the deviation
+	deviationFactor  = 6 // deviations from the mean that are still normal jitter
 )
 
-// Gaps estimates the time between an engine's tokens; the zero value knows none.
+// Gaps estimates the time between an engine's tokens as a moving average and deviation; the zero value has no samples.
 type Gaps struct {
 	mean      time.Duration
 	deviation time.Duration
-	count     int
+	samples   int
 }
 
-// Patience returns how long silence after a token is explained by the gaps seen so far.
+// Patience returns the timeout for the next token, derived from the gaps so far.
 func (g Gaps) Patience() time.Duration {
-	if g.count == 0 {
+	if g.samples == 0 {
 		return MaxPatience
 	}
-	patience := 2*g.mean + gapTolerance*g.deviation
-	return min(max(patience, MinPatience), MaxPatience)
+	timeout := 2*g.mean + deviationFactor*g.deviation
+	return min(max(timeout, MinPatience), MaxPatience)
 }
 
 // WithGap returns the estimate after one more gap.
 func (g Gaps) WithGap(gap time.Duration) Gaps {
-	if g.count == 0 {
-		return Gaps{mean: gap, deviation: gap / 2, count: 1}
+	if g.samples == 0 {
+		return Gaps{mean: gap, deviation: gap / 2, samples: 1}
 	}
 	difference := gap - g.mean
 	if difference < 0 {
-		g.deviation += (-difference - g.deviation) / gapSpread
+		g.deviation += (-difference - g.deviation) / deviationDivisor
 	} else {
-		g.deviation += (difference - g.deviation) / gapSpread
+		g.deviation += (difference - g.deviation) / deviationDivisor
 	}
-	g.mean += difference / gapWeight
-	g.count++
+	g.mean += difference / meanDivisor
+	g.samples++
 	return g
 }
--- a/core/flow/lineage.go
+++ b/core/flow/lineage.go
@@ -6,35 +6,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Token is one piece of output at its offset in the answer, counted from 0.
+// Token is one token of an answer; offsets count tokens from 0.
 type Token struct {
 	Offset int
 	Text   string
 }
 
-// Lineage is the history of one answer: how many tokens it has, their running hash and the attempts that may add to it.
+// Lineage is the immutable state of one answer: its number of tokens, their running hash and the attempts that may
+// extend it.
 type Lineage struct {
-	offset  int
-	hash    uint64
-	current int // current is the attempt that owns the answer.
-	rival   int // rival is a second attempt in a race, or 0.
-	last    int // last is the highest attempt number ever used.
+	offset      int
+	hash        uint64
+	current     int // attempt that produces the answer, or 0
+	rival       int // second attempt that races the current one, or 0
+	lastAttempt int // highest attempt number used
 }
 
-// Verdict is the sealed result of offering a token to a lineage: Deliver, Drop or Fault.
+// Verdict is the sealed set of results of Offer: Deliver, Drop and Fault.
 type Verdict interface {
 	isVerdict()
 }
 
-// Deliver says that the token is the next of the answer.
+// Deliver means that the token is the next one of the answer.
 type Deliver struct {
-	Superseded int // Superseded is the attempt that lost a race with this token, or 0.
+	Superseded int // Superseded is the attempt that lost the race to this token, or 0.
 }
 
-// Drop says that the token belongs to an attempt that is no longer current.
+// Drop means that the token's attempt may not extend the answer.
 type Drop struct{}
 
-// Fault says that a current attempt skipped or repeated an offset and can no longer be trusted.
+// Fault means that an attempt skipped or repeated an offset, so that its output is unusable.
 type Fault struct {
 	Want int
 	Got  int
@@ -44,12 +45,13 @@
 func (Drop) isVerdict()    {}
 func (Fault) isVerdict()   {}
 
-// NewLineage returns a lineage that goes on after offset tokens with the given running hash, with attempt numbers above last.
-func NewLineage(offset int, hash uint64, last int) Lineage {
-	return Lineage{offset: offset, hash: hash, last: last}
+// NewLineage returns the lineage of an answer with offset tokens and their running hash. The next attempt is number
+// lastAttempt+1.
+func NewLineage(offset int, hash uint64, lastAttempt int) Lineage {
+	return Lineage{offset: offset, hash: hash, lastAttempt: lastAttempt}
 }
 
-// NextHash extends a running hash by one token.
+// NextHash returns a running hash extended by one token.
 func NextHash(hash uint64, text string) uint64 {
 	d := xxhash.NewWithSeed(hash)
 	var length [8]byte
@@ -59,7 +61,7 @@
 	return d.Sum64()
 }
 
-// Attempt returns the attempt that owns the answer, or 0 when none does.
+// Attempt returns the attempt that produces the answer, or 0 if there is none.
 func (l Lineage) Attempt() int {
 	return l.current
 }
@@ -69,17 +71,17 @@
 	return l.hash
 }
 
-// Holds tells whether an attempt may still add to the answer.
+// Holds reports whether an attempt may extend the answer.
 func (l Lineage) Holds(attempt int) bool {
 	return attempt != 0 && (attempt == l.current || attempt == l.rival)
 }
 
 // Last returns the highest attempt number used so far.
 func (l Lineage) Last() int {
-	return l.last
+	return l.lastAttempt
 }
 
-// Offer decides whether a token of an attempt extends the answer.
+// Offer decides whether a token of an attempt extends the answer, and returns the lineage after it.
 func (l Lineage) Offer(attempt int, t Token) (Lineage, Verdict) {
 	if !l.Holds(attempt) {
 		return l, Drop{}
@@ -87,38 +89,38 @@
 	if t.Offset != l.offset {
 		return l, Fault{Want: l.offset, Got: t.Offset}
 	}
-	loser := 0
+	superseded := 0
 	if l.rival != 0 {
-		loser = l.current + l.rival - attempt
+		superseded = l.current + l.rival - attempt
 	}
 	l.current = attempt
 	l.rival = 0
 	l.offset++
 	l.hash = NextHash(l.hash, t.Text)
-	return l, Deliver{Superseded: loser}
+	return l, Deliver{Superseded: superseded}
 }
 
-// Offset returns the number of tokens so far, which is the offset of the next.
+// Offset returns the number of tokens so far, which is the offset of the next one.
 func (l Lineage) Offset() int {
 	return l.offset
 }
 
-// WithAttempt returns a lineage owned by a new attempt alone, and the attempt's number.
+// WithAttempt returns a lineage that only a new attempt may extend, and the attempt's number.
 func (l Lineage) WithAttempt() (Lineage, int) {
-	l.last++
-	l.current = l.last
+	l.lastAttempt++
+	l.current = l.lastAttempt
 	l.rival = 0
-	return l, l.last
+	return l, l.lastAttempt
 }
 
 // WithRival returns a lineage in which a new attempt races the current one, and the attempt's number.
 func (l Lineage) WithRival() (Lineage, int) {
-	l.last++
-	l.rival = l.last
-	return l, l.last
+	l.lastAttempt++
+	l.rival = l.lastAttempt
+	return l, l.lastAttempt
 }
 
-// WithoutAttempt returns a lineage that takes nothing more from an attempt.
+// WithoutAttempt returns a lineage that an attempt may no longer extend; its rival, if any, becomes the current one.
 func (l Lineage) WithoutAttempt(attempt int) Lineage {
 	switch attempt {
 	case l.current:
--- a/core/flow/lineage_test.go
+++ b/core/flow/lineage_test.go
@@ -9,23 +9,23 @@
 )
 
 func TestLineageOffer(t *testing.T) {
-	owned, first := NewLineage(0, 0, 0).WithAttempt()
-	raced, rival := owned.WithRival()
+	oneAttempt, first := NewLineage(0, 0, 0).WithAttempt()
+	twoAttempts, rival := oneAttempt.WithRival()
 	cases := map[string]struct {
 		lineage Lineage
 		attempt int
 		offset  int
 		want    Verdict
 	}{
-		"next":               {lineage: owned, attempt: first, offset: 0, want: Deliver{}},
-		"gap":                {lineage: owned, attempt: first, offset: 1, want: Fault{Want: 0, Got: 1}},
-		"stranger":           {lineage: owned, attempt: 9, offset: 0, want: Drop{}},
-		"no-attempt":         {lineage: NewLineage(0, 0, 0), attempt: 0, offset: 0, want: Drop{}},
-		"rival-wins":         {lineage: raced, attempt: rival, offset: 0, want: Deliver{Superseded: first}},
-		"incumbent-wins":     {lineage: raced, attempt: first, offset: 0, want: Deliver{Superseded: rival}},
-		"given-up":           {lineage: owned.WithoutAttempt(first), attempt: first, offset: 0, want: Drop{}},
-		"rival-left-alone":   {lineage: raced.WithoutAttempt(first), attempt: rival, offset: 0, want: Deliver{}},
-		"replaced-by-a-next": {lineage: second(owned.WithAttempt()), attempt: first, offset: 0, want: Drop{}},
+		"next-offset":                    {lineage: oneAttempt, attempt: first, offset: 0, want: Deliver{}},
+		"skipped-offset":                 {lineage: oneAttempt, attempt: first, offset: 1, want: Fault{Want: 0, Got: 1}},
+		"unknown-attempt":                {lineage: oneAttempt, attempt: 9, offset: 0, want: Drop{}},
+		"no-attempt":                     {lineage: NewLineage(0, 0, 0), attempt: 0, offset: 0, want: Drop{}},
+		"rival-wins":                     {lineage: twoAttempts, attempt: rival, offset: 0, want: Deliver{Superseded: first}},
+		"current-wins":                   {lineage: twoAttempts, attempt: first, offset: 0, want: Deliver{Superseded: rival}},
+		"removed-attempt":                {lineage: oneAttempt.WithoutAttempt(first), attempt: first, offset: 0, want: Drop{}},
+		"rival-after-removal-of-current": {lineage: twoAttempts.WithoutAttempt(first), attempt: rival, offset: 0, want: Deliver{}},
+		"replaced-attempt":               {lineage: lineageOf(oneAttempt.WithAttempt()), attempt: first, offset: 0, want: Drop{}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -36,12 +36,12 @@
 	}
 }
 
-// second returns the lineage of a lineage and its attempt.
-func second(l Lineage, _ int) Lineage {
+// lineageOf drops the attempt number that WithAttempt returns.
+func lineageOf(l Lineage, _ int) Lineage {
 	return l
 }
 
-// TestLineageDelivers checks that whatever attempts offer, what is delivered is one text without gap or repetition.
+// TestLineageDelivers checks that, whatever the attempts offer, the delivered tokens have no gap and no repetition.
 func TestLineageDelivers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLineage(0, 0, 0)
@@ -75,25 +75,25 @@
 
 func TestDecide(t *testing.T) {
 	cases := map[string]struct {
-		policy Policy
-		signal Signal
-		deaths int
-		want   Step
+		policy      Policy
+		signal      Signal
+		lostEngines int
+		want        Step
 	}{
-		"latency-races":         {policy: Latency{}, signal: Silent{}, want: Race{}},
-		"latency-attaches":      {policy: Latency{}, signal: Alive{}, want: Attach{}},
-		"latency-continues":     {policy: Latency{}, signal: Dead{}, want: Continue{}},
-		"thrift-probes":         {policy: Thrift{}, signal: Severed{}, want: Probe{}},
-		"thrift-attaches":       {policy: Thrift{}, signal: Alive{}, want: Attach{}},
-		"thrift-continues":      {policy: Thrift{}, signal: Forgotten{}, want: Continue{}},
-		"restart-regenerates":   {policy: Restart{}, signal: Severed{}, want: Regenerate{}},
-		"too-many-deaths":       {policy: Latency{}, signal: Dead{}, deaths: MaxDeaths, want: Abandon{}},
-		"silence-is-no-death":   {policy: Latency{}, signal: Silent{}, deaths: MaxDeaths, want: Race{}},
-		"last-death-is-allowed": {policy: Thrift{}, signal: Dead{}, deaths: MaxDeaths - 1, want: Continue{}},
+		"latency-silent-races":        {policy: Latency{}, signal: Silent{}, want: Race{}},
+		"latency-alive-attaches":      {policy: Latency{}, signal: Alive{}, want: Attach{}},
+		"latency-dead-continues":      {policy: Latency{}, signal: Dead{}, want: Continue{}},
+		"thrift-severed-probes":       {policy: Thrift{}, signal: Severed{}, want: Probe{}},
+		"thrift-alive-attaches":       {policy: Thrift{}, signal: Alive{}, want: Attach{}},
+		"thrift-forgotten-continues":  {policy: Thrift{}, signal: Forgotten{}, want: Continue{}},
+		"restart-severed-regenerates": {policy: Restart{}, signal: Severed{}, want: Regenerate{}},
+		"too-many-lost-engines":       {policy: Latency{}, signal: Dead{}, lostEngines: MaxDeaths, want: Abandon{}},
+		"silence-is-no-loss":          {policy: Latency{}, signal: Silent{}, lostEngines: MaxDeaths, want: Race{}},
+		"last-loss-is-recovered":      {policy: Thrift{}, signal: Dead{}, lostEngines: MaxDeaths - 1, want: Continue{}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.New(t).Assert(Decide(test.policy, test.signal, test.deaths), quicktest.Equals, test.want)
+			quicktest.New(t).Assert(Decide(test.policy, test.signal, test.lostEngines), quicktest.Equals, test.want)
 		})
 	}
 }
@@ -104,10 +104,10 @@
 		atLeast time.Duration
 		atMost  time.Duration
 	}{
-		"none":   {atLeast: MaxPatience, atMost: MaxPatience},
-		"steady": {gaps: repeat(47*time.Millisecond, 50), atLeast: MinPatience, atMost: 2 * MinPatience},
-		"slow":   {gaps: repeat(2*time.Second, 20), atLeast: MaxPatience, atMost: MaxPatience},
-		"jitter": {gaps: append(repeat(20*time.Millisecond, 20), 120*time.Millisecond), atLeast: 200 * time.Millisecond, atMost: MaxPatience},
+		"no-samples": {atLeast: MaxPatience, atMost: MaxPatience},
+		"steady":     {gaps: repeat(47*time.Millisecond, 50), atLeast: MinPatience, atMost: 2 * MinPatience},
+		"slow":       {gaps: repeat(2*time.Second, 20), atLeast: MaxPatience, atMost: MaxPatience},
+		"jitter":     {gaps: append(repeat(20*time.Millisecond, 20), 120*time.Millisecond), atLeast: 200 * time.Millisecond, atMost: MaxPatience},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// repeat returns a gap a number of times.
+// repeat returns count copies of a gap.
 func repeat(gap time.Duration, count int) []time.Duration {
 	gaps := make([]time.Duration, count)
 	for i := range gaps {
--- a/core/flow/pace.go
+++ b/core/flow/pace.go
@@ -2,48 +2,54 @@
 
 import "time"
 
-// Bounds of the silences that count, for a service whose pauses are not known yet or shorter than that.
+// Bounds of the timeouts of a silent stream. The lower ones apply while a service's pauses are unknown or short.
 const (
-	ProbeSilence = 250 * time.Millisecond // ProbeSilence is the shortest silence after which a target is probed.
-	CutSilence   = 500 * time.Millisecond // CutSilence is the shortest silence after which a stream goes on elsewhere though its target takes connections; it leaves 200 ms of a pause of 700 ms.
-	MaxSilence   = 2 * time.Second        // MaxSilence bounds what is learnt: callers leave after a gap of some seconds.
+	// ProbeSilence is the least silence after which a target is probed.
+	ProbeSilence = 250 * time.Millisecond
+	// CutSilence is the least silence after which a stream moves to another target although its own accepts
+	// connections. It leaves 200 ms for the move if a pause may last 700 ms.
+	CutSilence = 500 * time.Millisecond
+	// MaxSilence is the upper bound of both timeouts, since callers give up after a gap of some seconds.
+	MaxSilence = 2 * time.Second
 )
 
 const (
-	paceRise  = 0.3   // paceRise is the weight of a pause above the estimate.
-	paceFall  = 0.002 // paceFall is the weight of one below it, so that the estimate stays with the long pauses.
-	probeRoom = 1.2   // probeRoom is how much longer than a usual long pause a silence is before the target is probed.
-	cutRoom   = 2.2   // cutRoom is how much longer it is before the stream goes on elsewhere.
-	mistaken  = 1.25  // mistaken is how much longer than a silence that ended a live stream the next one may be.
+	riseWeight  = 0.3   // weight of a pause above the estimate
+	fallWeight  = 0.002 // weight of a pause below it, low so that the estimate stays near the long pauses
+	probeFactor = 1.2   // ratio of the probe timeout to the estimate
+	cutFactor   = 2.2   // ratio of the cut timeout to the estimate
+	cutGrowth   = 1.25  // ratio of the next cut timeout to a silence that was cut although the target was alive
 )
 
-// Pace estimates the long pauses between the events of a service's streams, as beside prompts that are being read; the zero value knows none.
+// Pace estimates the long pauses between the events of a service's streams, such as those while a target also reads
+// prompts. The zero value has no samples.
 type Pace struct {
-	long float64 // long is the estimate, in nanoseconds.
+	longPause float64 // in nanoseconds
 }
 
-// Cut returns the silence after which a stream goes on elsewhere though its target takes connections.
+// Cut returns the silence after which a stream moves to another target although its own accepts connections.
 func (p Pace) Cut() time.Duration {
-	return min(max(time.Duration(cutRoom*p.long), CutSilence), MaxSilence)
+	return min(max(time.Duration(cutFactor*p.longPause), CutSilence), MaxSilence)
 }
 
 // Probe returns the silence after which a target is probed.
 func (p Pace) Probe() time.Duration {
-	return min(max(time.Duration(probeRoom*p.long), ProbeSilence), p.Cut())
+	return min(max(time.Duration(probeFactor*p.longPause), ProbeSilence), p.Cut())
 }
 
-// WithPause returns the estimate after a pause that ended with an event.
+// WithPause returns the estimate after a pause between two events.
 func (p Pace) WithPause(pause time.Duration) Pace {
-	weight := paceFall
-	if float64(pause) > p.long {
-		weight = paceRise
+	weight := fallWeight
+	if float64(pause) > p.longPause {
+		weight = riseWeight
 	}
-	p.long += weight * (float64(pause) - p.long)
+	p.longPause += weight * (float64(pause) - p.longPause)
 	return p
 }
 
-// WithSilence returns the estimate after a silence of a target that takes connections, which was cut and so never ended.
+// WithSilence returns the estimate after a stream was cut although its target accepts connections. How long the pause
+// would have been is unknown, so that the next cut comes later.
 func (p Pace) WithSilence(silence time.Duration) Pace {
-	p.long = max(p.long, min(mistaken*float64(silence), float64(MaxSilence))/cutRoom)
+	p.longPause = max(p.longPause, min(cutGrowth*float64(silence), float64(MaxSilence))/cutFactor)
 	return p
 }
--- a/core/flow/pace_test.go
+++ b/core/flow/pace_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestPace(t *testing.T) {
-	// mixed returns the pace of streams of which one event in ten comes beside a prompt that is being read.
+	// mixed returns the estimate after short pauses and, for every tenth, a long one as while a prompt is read.
 	mixed := func(short, long time.Duration) Pace {
 		var p Pace
 		for i := range 2000 {
@@ -19,20 +19,20 @@
 		}
 		return p
 	}
-	var slow Pace
+	var afterCuts Pace
 	for range 6 {
-		slow = slow.WithSilence(slow.Cut())
+		afterCuts = afterCuts.WithSilence(afterCuts.Cut())
 	}
 	cases := map[string]struct {
 		pace       Pace
-		probe, cut [2]time.Duration // probe and cut are bounds of each.
+		probe, cut [2]time.Duration // least and greatest accepted value
 	}{
-		"unknown":        {Pace{}, [2]time.Duration{ProbeSilence, ProbeSilence}, [2]time.Duration{CutSilence, CutSilence}},
-		"fast-engines":   {mixed(30*time.Millisecond, 205*time.Millisecond), [2]time.Duration{ProbeSilence, ProbeSilence}, [2]time.Duration{CutSilence, CutSilence}},
-		"slow-engines":   {mixed(80*time.Millisecond, 540*time.Millisecond), [2]time.Duration{540 * time.Millisecond, 700 * time.Millisecond}, [2]time.Duration{time.Second, 1300 * time.Millisecond}},
-		"always-silent":  {slow, [2]time.Duration{ProbeSilence, MaxSilence}, [2]time.Duration{time.Second, MaxSilence}},
-		"very-long":      {Pace{}.WithPause(time.Hour), [2]time.Duration{MaxSilence, MaxSilence}, [2]time.Duration{MaxSilence, MaxSilence}},
-		"learns-by-cuts": {Pace{}.WithSilence(CutSilence), [2]time.Duration{ProbeSilence, CutSilence}, [2]time.Duration{CutSilence + 1, time.Second}},
+		"no-samples":      {Pace{}, [2]time.Duration{ProbeSilence, ProbeSilence}, [2]time.Duration{CutSilence, CutSilence}},
+		"fast-engines":    {mixed(30*time.Millisecond, 205*time.Millisecond), [2]time.Duration{ProbeSilence, ProbeSilence}, [2]time.Duration{CutSilence, CutSilence}},
+		"slow-engines":    {mixed(80*time.Millisecond, 540*time.Millisecond), [2]time.Duration{540 * time.Millisecond, 700 * time.Millisecond}, [2]time.Duration{time.Second, 1300 * time.Millisecond}},
+		"repeated-cuts":   {afterCuts, [2]time.Duration{ProbeSilence, MaxSilence}, [2]time.Duration{time.Second, MaxSilence}},
+		"very-long-pause": {Pace{}.WithPause(time.Hour), [2]time.Duration{MaxSilence, MaxSilence}, [2]time.Duration{MaxSilence, MaxSilence}},
+		"one-cut":         {Pace{}.WithSilence(CutSilence), [2]time.Duration{ProbeSilence, CutSilence}, [2]time.Duration{CutSilence + 1, time.Second}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/flow/policy.go
+++ b/core/flow/policy.go
@@ -1,6 +1,7 @@
 package flow
 
-// MaxDeaths bounds the engines that one request may lose before it is refused as the likely cause.
+// MaxDeaths is the number of lost engines after which a request is still recovered. At the next loss it is refused,
+// since the request itself is the likely cause.
 const MaxDeaths = 3
 
 // Policy is the sealed set of recovery policies: Latency, Thrift and Restart.
@@ -8,20 +9,20 @@
 	isPolicy()
 }
 
-// Latency continues elsewhere as soon as an engine is suspected and races it against the old stream.
+// Latency continues on another engine as soon as one is suspect, and lets it race the old stream.
 type Latency struct{}
 
-// Thrift probes a suspected engine first and continues elsewhere only when its work is surely lost.
+// Thrift probes a suspect engine first and continues on another only if the probe shows that the work is lost.
 type Thrift struct{}
 
-// Restart generates the whole answer again after any loss; it is the baseline that the others are measured against.
+// Restart generates the whole answer again after any failure; it is the baseline for comparing the others.
 type Restart struct{}
 
 func (Latency) isPolicy() {}
 func (Thrift) isPolicy()  {}
 func (Restart) isPolicy() {}
 
-// ParsePolicy returns the policy of a name used in sheets; an empty name is latency.
+// ParsePolicy returns the policy with the given name in a sheet; the empty name means latency.
 func ParsePolicy(name string) (Policy, bool) {
 	switch name {
 	case "", "latency":
@@ -35,24 +36,24 @@
 	}
 }
 
-// Signal is the sealed set of things learnt about a running attempt: Severed, Silent, Alive, Dead and Forgotten.
+// Signal is the sealed set of observations of a running attempt: Severed, Silent, Alive, Dead and Forgotten.
 type Signal interface {
 	isSignal()
 }
 
-// Severed says that the attempt's connection broke.
+// Severed means that the attempt's connection broke.
 type Severed struct{}
 
-// Silent says that no token came for longer than the engine's gaps explain.
+// Silent means that no token came within the timeout derived from earlier gaps.
 type Silent struct{}
 
-// Alive says that a probe on a fresh connection found the engine running the attempt.
+// Alive means that a probe over a new connection found the engine running the attempt.
 type Alive struct{}
 
-// Dead says that a probe on a fresh connection got no answer.
+// Dead means that a probe over a new connection got no answer.
 type Dead struct{}
 
-// Forgotten says that the engine answered and does not know the attempt.
+// Forgotten means that the engine answered but does not know the attempt.
 type Forgotten struct{}
 
 func (Severed) isSignal()   {}
@@ -66,25 +67,25 @@
 	isStep()
 }
 
-// Probe asks the engine on a fresh connection whether it still runs the attempt.
+// Probe asks the engine over a new connection whether it still runs the attempt.
 type Probe struct{}
 
-// Attach reads the running attempt again from the next offset on a fresh connection.
+// Attach reads the running attempt from the next offset over a new connection.
 type Attach struct{}
 
-// Race starts a continuation elsewhere and attaches to the old attempt at the same time.
+// Race starts a continuation on another engine and attaches to the old attempt at the same time.
 type Race struct{}
 
-// Continue starts a continuation elsewhere from the tokens so far.
+// Continue starts a continuation on another engine from the tokens so far.
 type Continue struct{}
 
-// Regenerate starts elsewhere from offset 0 and suppresses what was delivered.
+// Regenerate starts on another engine from offset 0 and suppresses the tokens already delivered.
 type Regenerate struct{}
 
-// Wait does nothing now; the engine is known to be alive and only slow.
+// Wait does nothing for now, since the engine is alive and only slow.
 type Wait struct{}
 
-// Abandon refuses the request, since too many engines were lost under it.
+// Abandon refuses the request, since it has lost too many engines.
 type Abandon struct{}
 
 func (Probe) isStep()      {}
@@ -95,9 +96,9 @@
 func (Wait) isStep()       {}
 func (Abandon) isStep()    {}
 
-// Decide returns the next step after a signal, given the engines this request has lost so far.
-func Decide(p Policy, s Signal, deaths int) Step {
-	if loses(s) && deaths >= MaxDeaths {
+// Decide returns the next step after a signal, given how many engines the request has lost before.
+func Decide(p Policy, s Signal, lostEngines int) Step {
+	if isLoss(s) && lostEngines >= MaxDeaths {
 		return Abandon{}
 	}
 	switch p.(type) {
@@ -110,8 +111,8 @@
 	}
 }
 
-// loses tells whether a signal means that the engine's work is gone.
-func loses(s Signal) bool {
+// isLoss reports whether a signal means that the engine's work is lost.
+func isLoss(s Signal) bool {
 	switch s.(type) {
 	case Dead, Forgotten:
 		return true
@@ -120,7 +121,7 @@
 	}
 }
 
-// decideLatency spends engine work to shorten the gap.
+// decideLatency spends additional engine work to shorten the interruption.
 func decideLatency(s Signal) Step {
 	switch s.(type) {
 	case Severed, Silent:
@@ -132,7 +133,7 @@
 	}
 }
 
-// decideRestart treats every suspicion as a loss of all work.
+// decideRestart treats every signal but Alive as the loss of all work.
 func decideRestart(s Signal) Step {
 	switch s.(type) {
 	case Alive:
@@ -142,7 +143,7 @@
 	}
 }
 
-// decideThrift spends time to keep the engine's work.
+// decideThrift accepts a longer interruption to keep the engine's work.
 func decideThrift(s Signal) Step {
 	switch s.(type) {
 	case Severed, Silent:
--- a/core/flow/spec.go
+++ b/core/flow/spec.go
@@ -1,6 +1,6 @@
 package flow
 
-// Spec pins everything that decides the text of one generation.
+// Spec describes one generation, including everything that determines its text.
 type Spec struct {
 	ID           string
 	Organisation string
