--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -6,34 +6,35 @@
 	Address string
 	Domain  string
 	Slots   int     // Slots is the number of generations batched at once; 0 means unknown.
-	Own     int     // Own counts this instance's generations in flight there.
-	Load    int     // Load is the last reported number of generations there, all instances together.
-	Warm    float64 // Warm is the believed share of the prompt's prefix in the cache, 0 to 1.
-	Suspect bool    // Suspect marks a target that failed lately.
+	Own     int     // Own is the number of this instance's generations in flight there.
+	Load    int     // Load is the last reported number of all instances' generations there.
+	Warm    float64 // Warm is the estimated share of the prompt's prefix in the target's cache, 0 to 1.
+	Suspect bool    // Suspect marks a target that failed recently.
 }
 
-// Choice is the sealed set of ways to choose a target: Balanced, Scanned, LeastLoaded and Random.
+// Choice is the sealed set of strategies to choose a target: Balanced, Scanned, LeastLoaded and Random.
 type Choice interface {
 	isChoice()
 }
 
-// Balanced weighs load against warm prefixes among two targets at the given draw and the warmest one; since reports lag, looking at more would send everybody to the same.
+// Balanced compares the cost of two random targets and of the one with the most of the prefix cached. Reports lag, so
+// that comparing more targets would send all instances to the same one.
 type Balanced struct {
-	Domain string // Domain is the failure domain that is preferred at equal cost.
-	Draw   uint64
+	Domain string // Domain is the failure domain that is preferred at nearly equal cost.
+	Draw   uint64 // Draw is a random number.
 }
 
-// Scanned weighs as Balanced does, among all targets; it is a baseline.
+// Scanned takes the target with the least cost among all; it is a baseline for comparison.
 type Scanned struct {
 	Domain string
 }
 
-// LeastLoaded takes the target with the least load alone; it is a baseline.
+// LeastLoaded takes the target with the least load; it is a baseline for comparison.
 type LeastLoaded struct{}
 
-// Random takes the target at the given draw; it is a baseline.
+// Random takes a random target; it is a baseline for comparison.
 type Random struct {
-	Draw uint64
+	Draw uint64 // Draw is a random number.
 }
 
 func (Balanced) isChoice()    {}
@@ -42,83 +43,84 @@
 func (Random) isChoice()      {}
 
 const (
-	warmGain       = 0.5  // warmGain is the load, in shares of all slots, that a fully warm prefix outweighs.
-	domainGain     = 0.02 // domainGain is the load that the own failure domain outweighs.
-	suspectPenalty = 10   // suspectPenalty puts suspects behind every healthy target.
-	defaultSlots   = 16   // defaultSlots stands in for a target that has not declared its slots.
+	cachedPrefixGain = 0.5  // load, as a share of the slots, that a fully cached prefix outweighs
+	domainGain       = 0.02 // load, as a share of the slots, that the preferred failure domain outweighs
+	suspectPenalty   = 10   // places suspect targets behind all others
+	defaultSlots     = 16   // for a target whose slots are unknown
 )
 
-// Choose returns the index of the target for a request, leaving out the named ones, or -1.
+// Choose returns the index of the candidate for a request, or -1 if the names to avoid leave none.
 func Choose(c Choice, candidates []Candidate, avoid map[string]bool) int {
-	var open []int
-	for i, t := range candidates {
-		if !avoid[t.Name] {
-			open = append(open, i)
+	var allowed []int
+	for i, candidate := range candidates {
+		if !avoid[candidate.Name] {
+			allowed = append(allowed, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(allowed) == 0 {
 		return -1
 	}
 	switch c := c.(type) {
 	case Random:
-		return open[c.Draw%uint64(len(open))]
+		return allowed[c.Draw%uint64(len(allowed))]
 	case Balanced:
-		return cheapest(candidates, sampled(candidates, healthy(candidates, open), c.Draw), c.Domain, warmGain)
+		return cheapest(candidates, sample(candidates, withoutSuspects(candidates, allowed), c.Draw), c.Domain, cachedPrefixGain)
 	case Scanned:
-		return cheapest(candidates, open, c.Domain, warmGain)
+		return cheapest(candidates, allowed, c.Domain, cachedPrefixGain)
 	default:
-		return cheapest(candidates, open, "", 0)
+		return cheapest(candidates, allowed, "", 0)
 	}
 }
 
-// cheapest returns the index with the least cost.
-func cheapest(candidates []Candidate, open []int, domain string, warm float64) int {
-	best := open[0]
-	for _, i := range open[1:] {
-		if candidates[i].cost(domain, warm) < candidates[best].cost(domain, warm) {
+// cheapest returns the one of the indices whose candidate has the least cost.
+func cheapest(candidates []Candidate, indices []int, domain string, prefixGain float64) int {
+	best := indices[0]
+	for _, i := range indices[1:] {
+		if candidates[i].cost(domain, prefixGain) < candidates[best].cost(domain, prefixGain) {
 			best = i
 		}
 	}
 	return best
 }
 
-// healthy returns the indices that are not suspect, or all when every one is.
-func healthy(candidates []Candidate, open []int) []int {
-	var sound []int
-	for _, i := range open {
+// withoutSuspects returns the indices of candidates that are not suspect, or all indices if every candidate is.
+func withoutSuspects(candidates []Candidate, indices []int) []int {
+	var healthy []int
+	for _, i := range indices {
 		if !candidates[i].Suspect {
-			sound = append(sound, i)
+			healthy = append(healthy, i)
 		}
 	}
-	if len(sound) == 0 {
-		return open
+	if len(healthy) == 0 {
+		return indices
 	}
-	return sound
+	return healthy
 }
 
-// sampled returns two different indices at a draw, and the warmest.
-func sampled(candidates []Candidate, open []int, draw uint64) []int {
-	n := uint64(len(open))
+// sample returns two different indices selected by a random number, and the one with the most of the prefix cached.
+func sample(candidates []Candidate, indices []int, draw uint64) []int {
+	n := uint64(len(indices))
 	if n <= 2 {
-		return open
+		return indices
 	}
 	first := draw % n
 	second := (first + 1 + draw/n%(n-1)) % n
-	warmest := cheapest(candidates, open, "", 1<<20)
-	return []int{open[first], open[second], warmest}
+	mostCached := cheapest(candidates, indices, "", 1<<20)
+	return []int{indices[first], indices[second], mostCached}
 }
 
-// cost is lower for a better target, with a gain for the preferred domain and for a warm prefix.
-func (t Candidate) cost(domain string, warm float64) float64 {
-	slots := t.Slots
+// cost returns the load as a share of the slots, reduced for a cached prefix and for the preferred failure domain and
+// raised for a suspect target.
+func (c Candidate) cost(domain string, prefixGain float64) float64 {
+	slots := c.Slots
 	if slots == 0 {
 		slots = defaultSlots
 	}
-	cost := float64(max(t.Own, t.Load))/float64(slots) - warm*t.Warm
-	if t.Suspect {
+	cost := float64(max(c.Own, c.Load))/float64(slots) - prefixGain*c.Warm
+	if c.Suspect {
 		cost += suspectPenalty
 	}
-	if domain != "" && domain == t.Domain {
+	if domain != "" && domain == c.Domain {
 		cost -= domainGain
 	}
 	return cost
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,3 +1,3 @@
-// Package route decides where work goes: which targets an instance watches,
-// which of them takes a request, and which instances a caller is told to use.
+// Package route selects the targets that an instance watches, the one that
+// takes a request, and the instances that callers are sent to.
 package route
--- a/core/route/rank.go
+++ b/core/route/rank.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders names by rendezvous hashing with a key: the same key gives the same order on every instance, and the loss of a name moves nothing else.
+// Rank orders names by rendezvous hashing with a key. The same key gives the same order on every instance, and removing
+// a name keeps the order of the others.
 func Rank(key string, names []string) []string {
 	type scored struct {
 		name  string
@@ -34,7 +35,7 @@
 	return order
 }
 
-// Score is the rendezvous weight of a name for a key.
+// Score returns the rendezvous hash of a name for a key.
 func Score(key, name string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -8,7 +8,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// places returns a number of places in three failure domains.
+// places returns count places in three failure domains.
 func places(count int) []Place {
 	list := make([]Place, count)
 	for i := range list {
@@ -17,7 +17,7 @@
 	return list
 }
 
-// TestSpreadIsStable checks that the loss of one place changes only the subsets that held it, by one.
+// TestSpreadIsStable checks that the loss of one place changes one name in the subsets that contain it and no other.
 func TestSpreadIsStable(t *testing.T) {
 	c := quicktest.New(t)
 	all := places(60)
@@ -67,7 +67,7 @@
 	warm := Candidate{Name: "warm", Domain: "far", Slots: 10, Load: 3, Warm: 1}
 	full := Candidate{Name: "full", Domain: "far", Slots: 10, Load: 9, Warm: 1}
 	near := Candidate{Name: "near", Domain: "own", Slots: 10}
-	ill := Candidate{Name: "ill", Domain: "own", Slots: 10, Suspect: true}
+	suspect := Candidate{Name: "suspect", Domain: "own", Slots: 10, Suspect: true}
 	cases := map[string]struct {
 		choice     Choice
 		candidates []Candidate
@@ -77,10 +77,10 @@
 		"warm-over-idle":       {Balanced{}, []Candidate{idle, warm}, "", 1},
 		"idle-over-warm-full":  {Balanced{}, []Candidate{idle, full}, "", 0},
 		"near-over-far":        {Balanced{Domain: "own"}, []Candidate{idle, near}, "", 1},
-		"far-over-ill":         {Balanced{Domain: "own"}, []Candidate{ill, idle}, "", 1},
-		"ill-when-alone":       {Balanced{}, []Candidate{ill}, "", 0},
+		"far-over-suspect":     {Balanced{Domain: "own"}, []Candidate{suspect, idle}, "", 1},
+		"suspect-when-alone":   {Balanced{}, []Candidate{suspect}, "", 0},
 		"avoided":              {Balanced{}, []Candidate{idle, warm}, "warm", 0},
-		"none-left":            {Balanced{}, []Candidate{idle}, "idle", -1},
+		"all-avoided":          {Balanced{}, []Candidate{idle}, "idle", -1},
 		"least-loaded":         {LeastLoaded{}, []Candidate{warm, idle}, "", 1},
 		"random-skips-avoided": {Random{Draw: 3}, []Candidate{idle, warm}, "warm", 0},
 	}
