--- a/core/limit/book.go
+++ b/core/limit/book.go
@@ -6,66 +6,66 @@
 	"time"
 )
 
-// Life is how long a slice may be spent after it was asked for.
+// Life is how long a borrower may use a slice, counted from its request.
 const Life = 4 * time.Second
 
-// Margin is how much longer than Life a lender counts a slice, against clocks that run at different speeds.
+// Margin is how much longer than Life a lender counts a slice, since clocks may run at different speeds.
 const Margin = 500 * time.Millisecond
 
-// Slice is what one borrower has of a ceiling.
+// Slice is the part of a ceiling that is lent to one borrower.
 type Slice struct {
 	Slots  int
 	Wanted int
 	Until  time.Time // Until is when the lender stops counting the slice.
 }
 
-// Book is a lender's account of one ceiling; its values are never changed after construction.
+// Book is a lender's record of the slices of one ceiling; its values are never changed after construction.
 type Book struct {
-	opened time.Time // opened is when this lender began; what others lent before has lapsed after Life and Margin.
-	slices map[string]Slice
+	start  time.Time        // when the instance became the lender; slices of a former one lapse Life and Margin later
+	slices map[string]Slice // by borrower
 }
 
-// Ask is a borrower's wish.
+// Ask is a borrower's request for slots.
 type Ask struct {
 	From    string
 	Running int // Running counts slots in use, which cannot be taken back.
-	Held    int // Held counts slots that the borrower may spend now.
+	Held    int // Held counts slots that the borrower may use now.
 	Wanted  int
 }
 
-// Open returns the book of a lender that begins now.
+// Open returns the empty book of an instance that becomes the lender now.
 func Open(now time.Time) Book {
-	return Book{opened: now}
+	return Book{start: now}
 }
 
-// Lent returns the slots that count against the ceiling now.
+// Lent returns the number of slots that count against the ceiling now.
 func (b Book) Lent(now time.Time) int {
-	sum := 0
+	lent := 0
 	for _, s := range b.slices {
 		if s.Until.After(now) {
-			sum += s.Slots
+			lent += s.Slots
 		}
 	}
-	return sum
+	return lent
 }
 
-// Opened returns when this lender began.
+// Opened returns when the instance became the lender.
 func (b Book) Opened() time.Time {
-	return b.opened
+	return b.start
 }
 
-// WithAsk returns the book after a borrower asked, and the slots that it is granted.
+// WithAsk returns the book after a borrower's request, and the number of slots granted.
 func (b Book) WithAsk(a Ask, ceiling int, now time.Time) (Book, int) {
-	next := Book{opened: b.opened, slices: make(map[string]Slice, len(b.slices)+1)}
-	others := 0
+	next := Book{start: b.start, slices: make(map[string]Slice, len(b.slices)+1)}
+	lentToOthers := 0
 	for name, s := range b.slices {
 		if name == a.From || !s.Until.After(now) {
 			continue
 		}
 		next.slices[name] = s
-		others += s.Slots
+		lentToOthers += s.Slots
 	}
-	granted := min(b.grant(a, next.slices, ceiling, now), max(0, ceiling-others))
+	granted := min(b.grantable(a, next.slices, ceiling, now), max(0, ceiling-lentToOthers))
 	if granted == 0 && a.Running == 0 && a.Wanted == 0 {
 		return next, 0
 	}
@@ -77,41 +77,43 @@
 	return next, granted
 }
 
-// grant returns the slots that a borrower should have, whatever the others still hold.
-func (b Book) grant(a Ask, others map[string]Slice, ceiling int, now time.Time) int {
-	if now.Before(b.opened.Add(Life + Margin)) {
+// grantable returns the number of slots due to a borrower, regardless of how many the others still hold.
+func (b Book) grantable(a Ask, others map[string]Slice, ceiling int, now time.Time) int {
+	if now.Before(b.start.Add(Life + Margin)) {
 		return min(a.Held, ceiling)
 	}
-	wants := map[string]int{a.From: a.Wanted}
+	wantedBy := map[string]int{a.From: a.Wanted}
 	for name, s := range others {
-		wants[name] = s.Wanted
+		wantedBy[name] = s.Wanted
 	}
-	return divide(wants, ceiling)[a.From]
+	return divide(wantedBy, ceiling)[a.From]
 }
 
-// divide splits a ceiling among wishes so that nobody gets more than wished and the least served get as much as possible.
-func divide(wants map[string]int, ceiling int) map[string]int {
-	names := slices.SortedFunc(maps.Keys(wants), func(a, b string) int {
-		if wants[a] != wants[b] {
-			return wants[a] - wants[b]
+// divide splits a ceiling by max-min fairness: nobody gets more than wanted, and the smallest part is as large as
+// possible.
+func divide(wantedBy map[string]int, ceiling int) map[string]int {
+	names := slices.SortedFunc(maps.Keys(wantedBy), func(a, b string) int {
+		if wantedBy[a] != wantedBy[b] {
+			return wantedBy[a] - wantedBy[b]
 		}
 		if a < b {
 			return -1
 		}
 		return 1
 	})
-	parts := make(map[string]int, len(wants))
-	left := ceiling
+	allotted := make(map[string]int, len(wantedBy))
+	remaining := ceiling
 	for i, name := range names {
-		open := len(names) - i
-		part := min(wants[name], (left+open-1)/open)
-		parts[name] = part
-		left -= part
+		claimants := len(names) - i
+		slots := min(wantedBy[name], (remaining+claimants-1)/claimants)
+		allotted[name] = slots
+		remaining -= slots
 	}
-	return parts
+	return allotted
 }
 
-// Floor returns the slots that an instance may spend when no lender can be reached: an equal part of the ceiling by its rank among the members.
+// Floor returns the number of slots that an instance may use while the lender is unreachable: an equal part of the
+// ceiling, with one slot of the remainder for each of the first ranks.
 func Floor(ceiling, rank, members int) int {
 	if members == 0 {
 		return 0
--- a/core/limit/book_test.go
+++ b/core/limit/book_test.go
@@ -9,13 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestLentNeverPassesCeiling checks that whatever borrowers ask and whenever, the slots that count stay within the ceiling, but for those still running at borrowers that came back after their slice had lapsed.
+// TestLentNeverPassesCeiling checks that the lent slots stay within the ceiling, whatever borrowers ask and whenever.
+// Only slots still running at a borrower that asks again after its slice has lapsed may exceed it.
 func TestLentNeverPassesCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		book := Open(now.Add(-Life - Margin))
 		ceiling := rapid.IntRange(1, 50).Draw(t, "ceiling")
-		granted, stray := make(map[string]int), make(map[string]int)
+		granted, overdue := make(map[string]int), make(map[string]int)
 		until := make(map[string]time.Time)
 		for range rapid.IntRange(1, 60).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond)
@@ -23,13 +24,13 @@
 			running := rapid.IntRange(0, granted[from]).Draw(t, "running")
 			ask := Ask{From: from, Running: running, Held: granted[from], Wanted: rapid.IntRange(0, 80).Draw(t, "wanted")}
 			if !until[from].After(now) {
-				ask.Held, stray[from] = 0, running
+				ask.Held, overdue[from] = 0, running
 			}
 			var got int
 			book, got = book.WithAsk(ask, ceiling, now)
 			granted[from], until[from] = max(got, running), now.Add(Life+Margin)
 			bound := ceiling
-			for _, s := range stray {
+			for _, s := range overdue {
 				bound += s
 			}
 			if book.Lent(now) > bound {
@@ -41,22 +42,22 @@
 
 func TestWithAsk(t *testing.T) {
 	now := time.Unix(1000, 0)
-	settled := Open(now.Add(-Life - Margin))
-	busy, _ := settled.WithAsk(Ask{From: "b", Wanted: 8}, 10, now)
+	established := Open(now.Add(-Life - Margin))
+	partlyLent, _ := established.WithAsk(Ask{From: "b", Wanted: 8}, 10, now)
 	cases := map[string]struct {
 		book Book
 		ask  Ask
 		at   time.Time
 		want int
 	}{
-		"all-that-is-wished":      {book: settled, ask: Ask{From: "a", Wanted: 4}, at: now, want: 4},
-		"no-more-than-there-is":   {book: settled, ask: Ask{From: "a", Wanted: 40}, at: now, want: 10},
-		"what-others-leave":       {book: busy, ask: Ask{From: "a", Wanted: 10}, at: now, want: 2},
-		"others-have-lapsed":      {book: busy, ask: Ask{From: "a", Wanted: 10}, at: now.Add(Life + Margin), want: 10},
-		"others-have-not-lapsed":  {book: busy, ask: Ask{From: "a", Wanted: 10}, at: now.Add(Life), want: 2},
-		"new-lender-grants-none":  {book: Open(now), ask: Ask{From: "a", Wanted: 4}, at: now, want: 0},
-		"new-lender-confirms":     {book: Open(now), ask: Ask{From: "a", Wanted: 9, Held: 3}, at: now, want: 3},
-		"new-lender-after-a-life": {book: Open(now), ask: Ask{From: "a", Wanted: 4}, at: now.Add(Life + Margin), want: 4},
+		"all-wanted-slots":               {book: established, ask: Ask{From: "a", Wanted: 4}, at: now, want: 4},
+		"at-most-the-ceiling":            {book: established, ask: Ask{From: "a", Wanted: 40}, at: now, want: 10},
+		"rest-beside-another-slice":      {book: partlyLent, ask: Ask{From: "a", Wanted: 10}, at: now, want: 2},
+		"other-slice-lapsed":             {book: partlyLent, ask: Ask{From: "a", Wanted: 10}, at: now.Add(Life + Margin), want: 10},
+		"other-slice-within-margin":      {book: partlyLent, ask: Ask{From: "a", Wanted: 10}, at: now.Add(Life), want: 2},
+		"new-lender-grants-none":         {book: Open(now), ask: Ask{From: "a", Wanted: 4}, at: now, want: 0},
+		"new-lender-confirms-held-slots": {book: Open(now), ask: Ask{From: "a", Wanted: 9, Held: 3}, at: now, want: 3},
+		"new-lender-after-former-slices": {book: Open(now), ask: Ask{From: "a", Wanted: 4}, at: now.Add(Life + Margin), want: 4},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +69,7 @@
 
 func TestFloor(t *testing.T) {
 	for name, test := range map[string]struct{ ceiling, members int }{
-		"even": {12, 4}, "odd": {13, 4}, "few": {2, 5}, "one": {7, 1},
+		"no-remainder": {12, 4}, "remainder": {13, 4}, "fewer-slots-than-members": {2, 5}, "one-member": {7, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sum := 0
