--- a/core/fair/doc.go
+++ b/core/fair/doc.go
@@ -1,7 +1,7 @@
 // Package fair decides in which order waiting generations get engine capacity.
 //
-// Organisations share capacity by weighted fair queuing: service advances an
-// organisation's virtual time, more slowly for a larger share, and the one that
-// would finish first goes next. What an organisation does not use is shared by
-// the others without further rules.
+// Organisations share capacity by weighted fair queuing: each served
+// generation advances its organisation's virtual finish time, by less for a
+// larger share, and the one with the earliest finish time goes next. Capacity
+// that an organisation does not use goes to the others.
 package fair
--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -9,12 +9,12 @@
 
 // Bounds of a queue.
 const (
-	MaxTickets  = 512 // MaxTickets bounds all waiting generations of one instance.
-	MaxOfOne    = 128 // MaxOfOne bounds those of one organisation.
-	minimumRate = 0.1 // minimumRate is the least rate of service that waits are estimated with, in tickets a second.
+	MaxTickets     = 512 // MaxTickets bounds all waiting generations of one instance.
+	MaxOfOne       = 128 // MaxOfOne bounds the waiting generations of one organisation.
+	minServiceRate = 0.1 // in tickets per second; keeps wait estimates finite
 )
 
-// Errors of a queue that takes no ticket.
+// Errors of rejected generations.
 var (
 	ErrFull = errors.New("too many generations wait for an engine")
 	ErrLate = errors.New("no engine will be free before the deadline")
@@ -31,10 +31,10 @@
 
 // Queue holds the waiting generations; its values are never changed after construction.
 type Queue struct {
-	tickets []Ticket // tickets is in order of arrival.
-	virtual float64
-	served  map[string]float64 // served holds the virtual finish of what each organisation was served last, or when it began to wait.
-	next    uint64
+	tickets     []Ticket // in order of arrival
+	virtualTime float64
+	finishTimes map[string]float64 // by organisation, of its last served ticket, or the time when it began to wait
+	next        uint64             // ID of the next ticket
 }
 
 // Len returns the number of tickets.
@@ -42,42 +42,42 @@
 	return len(q.tickets)
 }
 
-// Wait estimates how long a new ticket of an organisation waits at a rate of service, in tickets a second.
+// Wait estimates how long a new ticket of an organisation waits at a service rate in tickets per second.
 func (q Queue) Wait(organisation string, share, rate float64) time.Duration {
-	mine := 1
-	shares := map[string]float64{organisation: share}
+	ownTickets := 1
+	shareOf := map[string]float64{organisation: share}
 	for _, t := range q.tickets {
 		if t.Organisation == organisation {
-			mine++
+			ownTickets++
 		}
-		shares[t.Organisation] = t.Share
+		shareOf[t.Organisation] = t.Share
 	}
-	sum := 0.0
-	for _, s := range shares {
-		sum += s
+	shareSum := 0.0
+	for _, s := range shareOf {
+		shareSum += s
 	}
-	ahead := min(float64(mine)*sum/share, float64(len(q.tickets)+1))
-	return time.Duration(ahead / max(rate, minimumRate) * float64(time.Second))
+	turns := min(float64(ownTickets)*shareSum/share, float64(len(q.tickets)+1))
+	return time.Duration(turns / max(rate, minServiceRate) * float64(time.Second))
 }
 
-// WithTicket returns a queue with one more ticket of an organisation with a share, and the ticket.
+// WithTicket returns a queue with one more ticket, and that ticket.
 func (q Queue) WithTicket(organisation, model string, share float64, deadline time.Time) (Queue, Ticket, error) {
-	mine := 0
+	ownTickets := 0
 	for _, t := range q.tickets {
 		if t.Organisation == organisation {
-			mine++
+			ownTickets++
 		}
 	}
-	if len(q.tickets) >= MaxTickets || mine >= MaxOfOne {
+	if len(q.tickets) >= MaxTickets || ownTickets >= MaxOfOne {
 		return q, Ticket{}, ErrFull
 	}
 	t := Ticket{ID: q.next, Organisation: organisation, Model: model, Share: share, Deadline: deadline}
 	next := q
 	next.next++
 	next.tickets = append(slices.Clone(q.tickets), t)
-	if mine == 0 {
-		next.served = q.current()
-		next.served[organisation] = max(q.virtual, q.served[organisation])
+	if ownTickets == 0 {
+		next.finishTimes = q.activeFinishTimes()
+		next.finishTimes[organisation] = max(q.virtualTime, q.finishTimes[organisation])
 	}
 	return next, t, nil
 }
@@ -98,19 +98,20 @@
 	return next, expired
 }
 
-// WithoutFirst returns a queue without the ticket that is next among those that have room, and that ticket.
+// WithoutFirst returns a queue without the ticket that is served next among those whose model has room, and that
+// ticket.
 func (q Queue) WithoutFirst(hasRoom func(model string) bool) (Queue, Ticket, bool) {
 	best := -1
-	var bestFinish float64
+	var earliestFinish float64
 	seen := make(map[string]bool)
 	for i, t := range q.tickets {
 		if seen[t.Organisation+"/"+t.Model] {
 			continue
 		}
 		seen[t.Organisation+"/"+t.Model] = true
-		finish := q.finish(t)
-		if (best < 0 || finish < bestFinish) && hasRoom(t.Model) {
-			best, bestFinish = i, finish
+		finishTime := q.finishTime(t)
+		if (best < 0 || finishTime < earliestFinish) && hasRoom(t.Model) {
+			best, earliestFinish = i, finishTime
 		}
 	}
 	if best < 0 {
@@ -119,35 +120,36 @@
 	t := q.tickets[best]
 	next := q
 	next.tickets = slices.Delete(slices.Clone(q.tickets), best, best+1)
-	next.virtual = max(q.virtual, bestFinish-1/t.Share)
-	next.served = q.current()
-	next.served[t.Organisation] = bestFinish
+	next.virtualTime = max(q.virtualTime, earliestFinish-1/t.Share)
+	next.finishTimes = q.activeFinishTimes()
+	next.finishTimes[t.Organisation] = earliestFinish
 	return next, t, true
 }
 
-// WithoutTicket returns a queue without a ticket that gave up, and whether it was still there.
+// WithoutTicket returns a queue without a withdrawn ticket, and whether it was still waiting.
 func (q Queue) WithoutTicket(id uint64) (Queue, bool) {
 	next := q
 	next.tickets = slices.DeleteFunc(slices.Clone(q.tickets), func(t Ticket) bool { return t.ID == id })
 	return next, len(next.tickets) < len(q.tickets)
 }
 
-// current returns a copy of served without organisations that neither wait nor are ahead.
-func (q Queue) current() map[string]float64 {
+// activeFinishTimes returns the finish times without organisations that neither wait nor are ahead of the virtual time.
+func (q Queue) activeFinishTimes() map[string]float64 {
 	waiting := make(map[string]bool, len(q.tickets))
 	for _, t := range q.tickets {
 		waiting[t.Organisation] = true
 	}
-	served := make(map[string]float64, len(q.served)+1)
-	for organisation, finish := range q.served {
-		if waiting[organisation] || finish > q.virtual {
-			served[organisation] = finish
+	finishTimes := make(map[string]float64, len(q.finishTimes)+1)
+	for organisation, finishTime := range q.finishTimes {
+		if waiting[organisation] || finishTime > q.virtualTime {
+			finishTimes[organisation] = finishTime
 		}
 	}
-	return served
+	return finishTimes
 }
 
-// finish returns the virtual finish of a ticket if it were served next; only service advances it, so that tickets that give up cost their organisation nothing.
-func (q Queue) finish(t Ticket) float64 {
-	return q.served[t.Organisation] + 1/t.Share
+// finishTime returns the virtual finish time of a ticket if it were served next. Only served tickets advance it, so
+// that withdrawn ones cost their organisation nothing.
+func (q Queue) finishTime(t Ticket) float64 {
+	return q.finishTimes[t.Organisation] + 1/t.Share
 }
--- a/core/fair/queue_test.go
+++ b/core/fair/queue_test.go
@@ -7,21 +7,21 @@
 	"github.com/frankban/quicktest"
 )
 
-// always has room for every model.
-func always(string) bool { return true }
+// alwaysRoom reports room for every model.
+func alwaysRoom(string) bool { return true }
 
-// TestShares serves organisations that always wait and compares what they got with their shares.
+// TestShares checks that organisations with a constant backlog are served in proportion to their shares.
 func TestShares(t *testing.T) {
 	cases := map[string]struct {
 		shares map[string]float64
 		want   map[string]float64
 	}{
-		"even":           {shares: map[string]float64{"a": 10, "b": 10}, want: map[string]float64{"a": 0.5, "b": 0.5}},
-		"three-to-one":   {shares: map[string]float64{"a": 75, "b": 25}, want: map[string]float64{"a": 0.75, "b": 0.25}},
-		"small-one":      {shares: map[string]float64{"a": 60, "b": 38, "c": 2}, want: map[string]float64{"a": 0.6, "b": 0.38, "c": 0.02}},
-		"unused-is-lent": {shares: map[string]float64{"a": 10, "b": 30}, want: map[string]float64{"a": 0.25, "b": 0.75}},
+		"equal-shares":             {shares: map[string]float64{"a": 10, "b": 10}, want: map[string]float64{"a": 0.5, "b": 0.5}},
+		"three-to-one":             {shares: map[string]float64{"a": 75, "b": 25}, want: map[string]float64{"a": 0.75, "b": 0.25}},
+		"small-share":              {shares: map[string]float64{"a": 60, "b": 38, "c": 2}, want: map[string]float64{"a": 0.6, "b": 0.38, "c": 0.02}},
+		"shares-below-one-hundred": {shares: map[string]float64{"a": 10, "b": 30}, want: map[string]float64{"a": 0.25, "b": 0.75}},
 	}
-	const rounds, bound = 4000, 0.02
+	const rounds, tolerance = 4000, 0.02
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -38,7 +38,7 @@
 				}
 			}
 			for range rounds {
-				next, ticket, ok := q.WithoutFirst(always)
+				next, ticket, ok := q.WithoutFirst(alwaysRoom)
 				c.Assert(ok, quicktest.IsTrue)
 				q = next
 				got[ticket.Organisation] += 1.0 / rounds
@@ -46,13 +46,13 @@
 			}
 			for organisation, want := range test.want {
 				difference := got[organisation] - want
-				c.Assert(difference < bound && difference > -bound, quicktest.IsTrue, quicktest.Commentf("%s got %.3f of %.3f", organisation, got[organisation], want))
+				c.Assert(difference < tolerance && difference > -tolerance, quicktest.IsTrue, quicktest.Commentf("%s got %.3f of %.3f", organisation, got[organisation], want))
 			}
 		})
 	}
 }
 
-// errorUnless returns an error unless something holds.
+// errorUnless returns an error unless ok is true.
 func errorUnless(ok bool) error {
 	if ok {
 		return nil
@@ -71,17 +71,17 @@
 		want any
 		err  error
 	}{
-		"one-organisation-fills-its-part": {run: func() (any, error) { _, _, err := full.WithTicket("a", "m", 1, now); return nil, err }, err: ErrFull},
-		"others-still-enter":              {run: func() (any, error) { q, _, err := full.WithTicket("b", "m", 1, now); return q.Len(), err }, want: MaxOfOne + 1},
-		"expired-leave": {run: func() (any, error) {
-			q, gone := full.WithoutExpired(now.Add(2 * time.Second))
-			return q.Len() + len(gone)*10, nil
+		"organisation-at-its-bound":    {run: func() (any, error) { _, _, err := full.WithTicket("a", "m", 1, now); return nil, err }, err: ErrFull},
+		"other-organisation-is-queued": {run: func() (any, error) { q, _, err := full.WithTicket("b", "m", 1, now); return q.Len(), err }, want: MaxOfOne + 1},
+		"expired-are-removed": {run: func() (any, error) {
+			q, expired := full.WithoutExpired(now.Add(2 * time.Second))
+			return q.Len() + len(expired)*10, nil
 		}, want: MaxOfOne * 10},
-		"nobody-expires-early":           {run: func() (any, error) { q, gone := full.WithoutExpired(now); return q.Len() + len(gone)*10, nil }, want: MaxOfOne},
-		"giving-up":                      {run: func() (any, error) { q, found := full.WithoutTicket(3); return q.Len(), errorUnless(found) }, want: MaxOfOne - 1},
-		"no-room":                        {run: func() (any, error) { _, _, ok := full.WithoutFirst(func(string) bool { return false }); return ok, nil }, want: false},
-		"newcomer-does-not-wait-for-all": {run: func() (any, error) { return full.Wait("b", 10, 1) < 20*time.Second, nil }, want: true},
-		"wait-grows-with-the-queue":      {run: func() (any, error) { return full.Wait("a", 1, 1), nil }, want: (MaxOfOne + 1) * time.Second},
+		"none-expired-before-the-deadline":       {run: func() (any, error) { q, expired := full.WithoutExpired(now); return q.Len() + len(expired)*10, nil }, want: MaxOfOne},
+		"withdrawn-ticket":                       {run: func() (any, error) { q, found := full.WithoutTicket(3); return q.Len(), errorUnless(found) }, want: MaxOfOne - 1},
+		"no-model-has-room":                      {run: func() (any, error) { _, _, ok := full.WithoutFirst(func(string) bool { return false }); return ok, nil }, want: false},
+		"new-organisation-does-not-wait-for-all": {run: func() (any, error) { return full.Wait("b", 10, 1) < 20*time.Second, nil }, want: true},
+		"wait-grows-with-the-queue":              {run: func() (any, error) { return full.Wait("a", 1, 1), nil }, want: (MaxOfOne + 1) * time.Second},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
