--- a/core/fence/doc.go
+++ b/core/fence/doc.go
@@ -1,9 +1,9 @@
-// Package fence decides who may give orders to engines, and when.
+// Package fence decides which instance may send orders to engines, and when.
 //
 // One instance at a time holds a lease in the platform; each new holder gets a
-// higher fencing number. Lapse is judged by each observer's own monotonic
-// clock. Engines that refuse old numbers are safe from a holder that wakes up
-// late; for those that ignore them a new holder waits until the old one's last
-// order has surely arrived, and orders say what should be, so that repeating
-// one mends what a late one spoilt.
+// higher fencing number. Each observer judges by its own monotonic clock
+// whether the lease has lapsed. Engines that check the number reject late
+// orders of a former holder. For engines that ignore it, a new holder waits
+// until the former one's last order has certainly arrived. Orders declare the
+// desired state, so that repeating one corrects the effect of a late one.
 package fence
