--- a/core/member/callable_test.go
+++ b/core/member/callable_test.go
@@ -16,12 +16,12 @@
 		want    []string
 	}{
 		"all":                 {[]Member{m("a", Alive, false), m("b", Alive, false), m("c", Alive, false)}, true, []string{"a", "b", "c"}},
-		"one-leaves":          {[]Member{m("a", Alive, false), m("b", Alive, true), m("c", Alive, false)}, true, []string{"a", "c"}},
+		"one-is-leaving":      {[]Member{m("a", Alive, false), m("b", Alive, true), m("c", Alive, false)}, true, []string{"a", "c"}},
 		"one-is-suspect":      {[]Member{m("a", Alive, false), m("b", Suspect, false), m("c", Alive, false)}, true, []string{"a", "c"}},
-		"most-seem-lost":      {[]Member{m("a", Alive, false), m("b", Dead, false), m("c", Suspect, false)}, true, []string{"a", "b", "c"}},
+		"most-are-not-alive":  {[]Member{m("a", Alive, false), m("b", Dead, false), m("c", Suspect, false)}, true, []string{"a", "b", "c"}},
 		"self-not-ready":      {[]Member{m("a", Alive, false), m("b", Alive, false), m("c", Alive, false)}, false, []string{"b", "c"}},
-		"self-leaves":         {[]Member{m("a", Alive, true), m("b", Alive, false), m("c", Alive, false)}, true, []string{"b", "c"}},
-		"never-heard-of":      {[]Member{m("a", Alive, false), {Name: "b", CallerAddress: "b"}}, true, []string{"a"}},
+		"self-is-leaving":     {[]Member{m("a", Alive, true), m("b", Alive, false), m("c", Alive, false)}, true, []string{"b", "c"}},
+		"listed-only":         {[]Member{m("a", Alive, false), {Name: "b", CallerAddress: "b"}}, true, []string{"a"}},
 		"alone":               {[]Member{m("a", Alive, false)}, true, []string{"a"}},
 		"alone-and-not-ready": {[]Member{m("a", Alive, false)}, false, nil},
 	}
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -8,7 +8,7 @@
 	"bramleywharf.example/core/route"
 )
 
-// State says what is believed of a member; within one incarnation a higher state wins.
+// State is the last known state of a member; within one incarnation a higher state wins.
 type State uint8
 
 // The states of a member.
@@ -18,7 +18,7 @@
 	Dead
 )
 
-// String names the state.
+// String returns the state's name.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -36,40 +36,43 @@
 	Domain        string `cbor:"2,keyasint"`
 	CallerAddress string `cbor:"3,keyasint"`
 	PeerAddress   string `cbor:"4,keyasint"`
-	Incarnation   uint64 `cbor:"5,keyasint"` // Incarnation grows with each start and each refuted suspicion; 0 is a listed member not yet heard of.
-	State         State  `cbor:"6,keyasint"`
-	Leaving       bool   `cbor:"7,keyasint,omitempty"` // Leaving holds until the incarnation changes.
+	// Incarnation increases with each start and each refuted suspicion; 0 is a listed member without an update so far.
+	Incarnation uint64 `cbor:"5,keyasint"`
+	State       State  `cbor:"6,keyasint"`
+	Leaving     bool   `cbor:"7,keyasint,omitempty"` // Leaving lasts until the incarnation changes.
 }
 
-// View is what one instance believes of all members.
+// View is what one instance knows about all members; its values are never changed after construction.
 type View struct {
 	members map[string]Member
 }
 
-// All returns every member known, sorted by name.
+// All returns the known members, dead ones included, sorted by name.
 func (v View) All() []Member {
 	return slices.SortedFunc(maps.Values(v.members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Callable returns the addresses for callers of the live members that are not leaving; when most seem lost, which is more likely a cut around the named one, those of all that are not leaving.
+// Callable returns the caller addresses of the alive members that are not leaving, without self unless it is ready. If
+// half of the members or more seem lost, self is more likely cut off, and all that are not leaving are returned.
 func (v View) Callable(self string, ready bool) []string {
-	var live, all []string
+	var alive, all []string
 	for _, m := range v.All() {
 		if m.Leaving || m.Incarnation == 0 || m.Name == self && !ready {
 			continue
 		}
 		all = append(all, m.CallerAddress)
 		if m.Name == self || m.State == Alive {
-			live = append(live, m.CallerAddress)
+			alive = append(alive, m.CallerAddress)
 		}
 	}
-	if len(live)*2 <= len(all) {
+	if len(alive)*2 <= len(all) {
 		return all
 	}
-	return live
+	return alive
 }
 
-// Expected returns the number of members that should be there: all but those that ended after they had said that they were leaving.
+// Expected returns the number of members that should be running: all but those that died after announcing that they
+// were leaving.
 func (v View) Expected() int {
 	expected := 0
 	for _, m := range v.members {
@@ -86,7 +89,7 @@
 	return m, ok
 }
 
-// Len returns the number of members known, dead ones included.
+// Len returns the number of known members, dead ones included.
 func (v View) Len() int {
 	return len(v.members)
 }
@@ -103,7 +106,7 @@
 	return live
 }
 
-// Neighbours returns the live members that the named one probes: a stable few, so that state does not grow with the fleet.
+// Neighbours returns the live members that self probes: a stable few, so that its state does not grow with the fleet.
 func (v View) Neighbours(self string, count int) []Member {
 	var names []string
 	for _, m := range v.members {
@@ -122,7 +125,7 @@
 	return neighbours
 }
 
-// Open returns the members that callers may be sent to, as places.
+// Open returns the members that new callers may be sent to.
 func (v View) Open() []route.Place {
 	var open []route.Place
 	for _, m := range v.Live() {
@@ -133,25 +136,25 @@
 	return open
 }
 
-// WithMember returns a view that believes the newer of what it knew and what it is told, and whether that changed it.
-func (v View) WithMember(m Member) (View, bool) {
-	old, known := v.members[m.Name]
-	if known && !supersedes(m, old) {
+// WithMember returns a view with an update merged in, and whether that changed it.
+func (v View) WithMember(update Member) (View, bool) {
+	current, known := v.members[update.Name]
+	if known && !supersedes(update, current) {
 		return v, false
 	}
 	next := View{members: maps.Clone(v.members)}
 	if next.members == nil {
 		next.members = make(map[string]Member)
 	}
-	if known && m.Incarnation == old.Incarnation {
-		m.Leaving = m.Leaving || old.Leaving
-		m.State = max(m.State, old.State)
+	if known && update.Incarnation == current.Incarnation {
+		update.Leaving = update.Leaving || current.Leaving
+		update.State = max(update.State, current.State)
 	}
-	next.members[m.Name] = m
+	next.members[update.Name] = update
 	return next, true
 }
 
-// WithoutMember returns a view that has forgotten a member.
+// WithoutMember returns a view without a member.
 func (v View) WithoutMember(name string) View {
 	if _, known := v.members[name]; !known {
 		return v
@@ -161,7 +164,8 @@
 	return next
 }
 
-// WithState returns a view in which a member of an incarnation has at least a state.
+// WithState returns a view in which a member has at least the given state if its incarnation is the given one, and
+// whether that changed the view.
 func (v View) WithState(name string, incarnation uint64, s State) (View, bool) {
 	m, known := v.members[name]
 	if !known || m.Incarnation != incarnation {
@@ -171,10 +175,10 @@
 	return v.WithMember(m)
 }
 
-// supersedes tells whether what is told of a member is news.
-func supersedes(told, known Member) bool {
-	if told.Incarnation != known.Incarnation {
-		return told.Incarnation > known.Incarnation
+// supersedes reports whether an update about a member changes what is known about it.
+func supersedes(update, current Member) bool {
+	if update.Incarnation != current.Incarnation {
+		return update.Incarnation > current.Incarnation
 	}
-	return told.State > known.State || (told.Leaving && !known.Leaving)
+	return update.State > current.State || (update.Leaving && !current.Leaving)
 }
--- a/core/member/view_test.go
+++ b/core/member/view_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawMember draws news of one of a few members.
+// drawMember draws an update about one of a few members.
 func drawMember(t *rapid.T) Member {
 	return Member{
 		Name:        fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "name")),
@@ -18,13 +18,13 @@
 	}
 }
 
-// TestViewConverges checks that the order in which news arrives does not matter, so that all instances end with the same view.
+// TestViewConverges checks that the order of updates does not matter, so that all instances reach the same view.
 func TestViewConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "news")
-		shuffled := rapid.Permutation(news).Draw(t, "shuffled")
+		updates := rapid.SliceOfN(rapid.Custom(drawMember), 1, 12).Draw(t, "updates")
+		shuffled := rapid.Permutation(updates).Draw(t, "shuffled")
 		var a, b View
-		for _, m := range news {
+		for _, m := range updates {
 			a, _ = a.WithMember(m)
 		}
 		for _, m := range shuffled {
@@ -41,22 +41,22 @@
 func TestWithMember(t *testing.T) {
 	known := Member{Name: "n", Incarnation: 5, State: Suspect}
 	cases := map[string]struct {
-		told    Member
+		update  Member
 		changed bool
 		state   State
 	}{
-		"older-life":        {told: Member{Name: "n", Incarnation: 4, State: Dead}, state: Suspect},
-		"same-again":        {told: known, state: Suspect},
-		"worse":             {told: Member{Name: "n", Incarnation: 5, State: Dead}, changed: true, state: Dead},
-		"better-is-no-news": {told: Member{Name: "n", Incarnation: 5, State: Alive}, state: Suspect},
-		"refuted":           {told: Member{Name: "n", Incarnation: 6, State: Alive}, changed: true, state: Alive},
-		"leaving":           {told: Member{Name: "n", Incarnation: 5, Leaving: true}, changed: true, state: Suspect},
+		"older-incarnation": {update: Member{Name: "n", Incarnation: 4, State: Dead}, state: Suspect},
+		"unchanged":         {update: known, state: Suspect},
+		"higher-state":      {update: Member{Name: "n", Incarnation: 5, State: Dead}, changed: true, state: Dead},
+		"lower-state":       {update: Member{Name: "n", Incarnation: 5, State: Alive}, state: Suspect},
+		"newer-incarnation": {update: Member{Name: "n", Incarnation: 6, State: Alive}, changed: true, state: Alive},
+		"leaving":           {update: Member{Name: "n", Incarnation: 5, Leaving: true}, changed: true, state: Suspect},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			v, _ := View{}.WithMember(known)
-			v, changed := v.WithMember(test.told)
+			v, changed := v.WithMember(test.update)
 			c.Assert(changed, quicktest.Equals, test.changed)
 			m, _ := v.Get("n")
 			c.Assert(m.State, quicktest.Equals, test.state)
@@ -71,9 +71,9 @@
 	}{
 		"none":               {},
 		"alive":              {members: []Member{{Name: "a"}, {Name: "b"}}, want: 2},
-		"lost":               {members: []Member{{Name: "a"}, {Name: "b", State: Dead}}, want: 2},
+		"dead":               {members: []Member{{Name: "a"}, {Name: "b", State: Dead}}, want: 2},
 		"leaving":            {members: []Member{{Name: "a"}, {Name: "b", Leaving: true}}, want: 2},
-		"ended-after-notice": {members: []Member{{Name: "a"}, {Name: "b", Leaving: true, State: Dead}}, want: 1},
+		"dead-after-leaving": {members: []Member{{Name: "a"}, {Name: "b", Leaving: true, State: Dead}}, want: 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
