--- a/core/health/belief.go
+++ b/core/health/belief.go
@@ -6,94 +6,96 @@
 )
 
 const (
-	suspectFirst = 800 * time.Millisecond // suspectFirst is how long a target is avoided after its first loss; engines of a failure domain are back after a second or so.
-	suspectMax   = 4 * time.Second        // suspectMax bounds the doubling of that time.
-	halfLife     = 3 * time.Second        // halfLife is the time after which half of a failure rate is forgotten, so that a mended target is tried again.
-	weight       = 0.2                    // weight is that of a new outcome in the failure rate and the latency.
-	failureCost  = 6                      // failureCost is how much a failure rate of 1 multiplies the cost of a target.
+	minSuspicion      = 800 * time.Millisecond // after the first loss; engines of a lost domain return in about a second
+	maxSuspicion      = 4 * time.Second        // bounds the doubling with each further loss
+	failureHalfLife   = 3 * time.Second        // lets the failure rate decay, so that a recovered target is tried again
+	sampleWeight      = 0.2                    // of a new outcome in the EWMAs of failure rate and latency
+	failureCostFactor = 6                      // a failure rate of 1 adds this many times the latency to the cost
 )
 
-// Belief is what is believed of a target; its values are never changed after construction.
+// Belief is the estimated health of a target; its values are never changed after construction.
 type Belief struct {
-	failures float64 // failures is the share of failed outcomes at the time of the last one.
-	latency  time.Duration
-	at       time.Time
-	losses   int // losses counts the losses since the last sign of life.
-	until    time.Time
-	gone     bool // gone tells that another target answers at the address.
+	failureRate  float64 // share of failed outcomes as of updatedAt
+	latency      time.Duration
+	updatedAt    time.Time
+	losses       int // since the last sign of life
+	suspectUntil time.Time
+	replaced     bool // another target answers at the address
 }
 
-// Cost grows with the failures and the latency of a target; fallback stands in for a latency that is not known.
+// Cost returns the cost of using the target, which grows with its failure rate and its latency; fallback replaces an
+// unknown latency.
 func (b Belief) Cost(now time.Time, fallback time.Duration) float64 {
 	latency := b.latency
 	if latency == 0 {
 		latency = fallback
 	}
-	return latency.Seconds() * (1 + failureCost*b.rate(now))
+	return latency.Seconds() * (1 + failureCostFactor*b.decayedFailureRate(now))
 }
 
-// Latency returns the mean latency of whole answers, or 0 when there was none.
+// Latency returns the average latency of complete answers, or 0 before the first.
 func (b Belief) Latency() time.Duration {
 	return b.latency
 }
 
-// Suspect tells whether the target is avoided.
+// Suspect reports whether the target is to be avoided.
 func (b Belief) Suspect(now time.Time) bool {
-	return b.gone || now.Before(b.until)
+	return b.replaced || now.Before(b.suspectUntil)
 }
 
-// Gone tells whether the target has ended for good.
+// Gone reports whether another target has replaced this one at its address.
 func (b Belief) Gone() bool {
-	return b.gone
+	return b.replaced
 }
 
 // WithEnd returns the belief after another target answered at the address.
 func (b Belief) WithEnd() Belief {
-	b.gone = true
+	b.replaced = true
 	return b
 }
 
-// WithFailure returns the belief after a target failed a request by itself.
+// WithFailure returns the belief after the target was reached but failed a request.
 func (b Belief) WithFailure(now time.Time) Belief {
-	b.failures = b.rate(now)*(1-weight) + weight
-	b.at = now
+	b.failureRate = b.decayedFailureRate(now)*(1-sampleWeight) + sampleWeight
+	b.updatedAt = now
 	return b
 }
 
 // WithLife returns the belief after a sign of life.
 func (b Belief) WithLife() Belief {
 	b.losses = 0
-	b.until = time.Time{}
+	b.suspectUntil = time.Time{}
 	return b
 }
 
-// WithLoss returns the belief after a target could not be reached or fell silent; it is avoided twice as long each time.
+// WithLoss returns the belief after the target was unreachable or timed out. Each loss doubles the time for which it is
+// avoided, but a loss while it is suspect has no effect.
 func (b Belief) WithLoss(now time.Time) Belief {
 	if b.Suspect(now) {
 		return b
 	}
-	pause := min(suspectFirst<<min(b.losses, 8), suspectMax)
+	suspicion := min(minSuspicion<<min(b.losses, 8), maxSuspicion)
 	b.losses++
-	b.until = now.Add(pause)
+	b.suspectUntil = now.Add(suspicion)
 	return b
 }
 
-// WithSuccess returns the belief after a whole answer that took a time.
-func (b Belief) WithSuccess(now time.Time, took time.Duration) Belief {
+// WithSuccess returns the belief after a complete answer.
+func (b Belief) WithSuccess(now time.Time, duration time.Duration) Belief {
 	b = b.WithLife()
-	b.failures = b.rate(now) * (1 - weight)
-	b.at = now
+	b.failureRate = b.decayedFailureRate(now) * (1 - sampleWeight)
+	b.updatedAt = now
 	if b.latency == 0 {
-		b.latency = took
+		b.latency = duration
 	}
-	b.latency += time.Duration(weight * float64(took-b.latency))
+	b.latency += time.Duration(sampleWeight * float64(duration-b.latency))
 	return b
 }
 
-// rate returns the failure rate, of which half is forgotten in each half-life.
-func (b Belief) rate(now time.Time) float64 {
-	if b.failures == 0 {
+// decayedFailureRate returns the failure rate, halved once for each half-life since the last outcome.
+func (b Belief) decayedFailureRate(now time.Time) float64 {
+	if b.failureRate == 0 {
 		return 0
 	}
-	return b.failures * math.Exp2(-now.Sub(b.at).Seconds()/halfLife.Seconds())
+	return b.failureRate * math.Exp2(-now.Sub(b.updatedAt).Seconds()/failureHalfLife.Seconds())
 }
--- a/core/health/doc.go
+++ b/core/health/doc.go
@@ -1,2 +1,2 @@
-// Package health holds what one instance believes of a target from the outcomes of its own requests.
+// Package health estimates the health of a target from the outcomes of one instance's own requests.
 package health
