--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -1,6 +1,7 @@
-// Package retry bounds how often requests are sent a second time.
+// Package retry bounds how often requests are sent again.
 //
-// Each instance keeps its own share of the bound, a ratio of the requests that
-// it received lately, so the bound holds over all instances without a word
-// between them.
+// Each instance keeps to its own share of the bound, a ratio of the requests
+// that it received recently, so that the bound holds for all instances without
+// communication between them. Only retries beyond that share, up to a part of
+// the common bound, depend on what the other instances reported.
 package retry
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -2,88 +2,89 @@
 
 import "time"
 
-// seconds is the number of one-second buckets of a window.
-const seconds = 10
+// windowSeconds is the length of a window, which has one bucket per second.
+const windowSeconds = 10
 
-// Bound is the most repeats that a window may hold.
+// Bound is the largest number of retries in a window.
 type Bound struct {
-	Ratio float64 // Ratio is the repeats allowed for each request.
+	Ratio float64 // Ratio is the number of retries allowed per request.
 	Slack int     // Slack is added to that, for windows with few requests.
 }
 
-// Window counts requests and repeats of the last seconds; its values are never changed after construction.
+// Window counts the requests and retries of the last seconds; its values are never changed after construction.
 type Window struct {
-	second   int64
-	requests [seconds]int
-	repeats  [seconds]int
+	second   int64 // of the newest bucket
+	requests [windowSeconds]int
+	retries  [windowSeconds]int
 }
 
-// Count returns the requests and repeats of the window.
-func (w Window) Count(now time.Duration) (requests, repeats int) {
-	w = w.at(now)
-	for i := range seconds {
+// Count returns the number of requests and of retries in the window.
+func (w Window) Count(now time.Duration) (requests, retries int) {
+	w = w.advancedTo(now)
+	for i := range windowSeconds {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	return requests, repeats
+	return requests, retries
 }
 
-// Left returns the number of repeats that are still allowed.
+// Left returns the number of retries that are still allowed.
 func (w Window) Left(now time.Duration, b Bound) int {
-	requests, repeats := w.Count(now)
-	return int(b.Ratio*float64(requests)) + b.Slack - repeats
+	requests, retries := w.Count(now)
+	return int(b.Ratio*float64(requests)) + b.Slack - retries
 }
 
-// Overdraft bounds what one instance may send beyond its share while the fleet is far below its bound.
+// Overdraft bounds the retries of one instance beyond its share while all instances together are far below their bound.
 type Overdraft struct {
-	Requests int // Requests and Repeats are those of all other instances, as they were some time ago.
+	Requests int // Requests and Repeats are those of all other instances, as last reported.
 	Repeats  int
-	Fleet    Bound // Fleet is the bound of all instances.
+	Fleet    Bound // Fleet is the bound of all instances together.
 	Own      Bound // Own is this instance's share.
 }
 
 const (
-	idleShare = 0.5 // idleShare is the part of the fleet's bound below which instances may go beyond their share; what others send meanwhile has the other half.
-	ownFactor = 4   // ownFactor bounds an instance to so many of its shares.
+	maxFleetShare = 0.5 // part of the fleet's bound open to overdrafts; the rest is for retries not reported yet
+	maxOwnFactor  = 4   // bounds an instance to this many times its share
 )
 
-// WithOverdraft returns the window after one more repeat beyond the instance's share, or false when the fleet's use does not allow it.
+// WithOverdraft returns the window after one more retry beyond the instance's share, or false if the overdraft does not
+// allow it.
 func (w Window) WithOverdraft(now time.Duration, o Overdraft) (Window, bool) {
-	w = w.at(now)
-	requests, repeats := w.Count(now)
-	fleet := o.Fleet.Ratio*float64(requests+o.Requests) + float64(o.Fleet.Slack)
-	own := o.Own.Ratio*float64(requests) + float64(o.Own.Slack) + 1
-	if float64(repeats+o.Repeats+1) > idleShare*fleet || float64(repeats+1) > ownFactor*own {
+	w = w.advancedTo(now)
+	requests, retries := w.Count(now)
+	fleetBound := o.Fleet.Ratio*float64(requests+o.Requests) + float64(o.Fleet.Slack)
+	ownBound := o.Own.Ratio*float64(requests) + float64(o.Own.Slack) + 1
+	if float64(retries+o.Repeats+1) > maxFleetShare*fleetBound || float64(retries+1) > maxOwnFactor*ownBound {
 		return w, false
 	}
-	w.repeats[w.second%seconds]++
+	w.retries[w.second%windowSeconds]++
 	return w, true
 }
 
-// WithRepeat returns the window after one more repeat, or false when the bound does not allow it.
+// WithRepeat returns the window after one more retry, or false if the bound does not allow it.
 func (w Window) WithRepeat(now time.Duration, b Bound) (Window, bool) {
-	w = w.at(now)
+	w = w.advancedTo(now)
 	if w.Left(now, b) < 1 {
 		return w, false
 	}
-	w.repeats[w.second%seconds]++
+	w.retries[w.second%windowSeconds]++
 	return w, true
 }
 
 // WithRequest returns the window after one more request.
 func (w Window) WithRequest(now time.Duration) Window {
-	w = w.at(now)
-	w.requests[w.second%seconds]++
+	w = w.advancedTo(now)
+	w.requests[w.second%windowSeconds]++
 	return w
 }
 
-// at returns the window moved on to a time on the steady clock.
-func (w Window) at(now time.Duration) Window {
+// advancedTo returns the window moved forward to a time on the monotonic clock.
+func (w Window) advancedTo(now time.Duration) Window {
 	second := int64(now / time.Second)
-	for steps := 0; w.second < second && steps < seconds; steps++ {
+	for steps := 0; w.second < second && steps < windowSeconds; steps++ {
 		w.second++
-		w.requests[w.second%seconds] = 0
-		w.repeats[w.second%seconds] = 0
+		w.requests[w.second%windowSeconds] = 0
+		w.retries[w.second%windowSeconds] = 0
 	}
 	w.second = max(w.second, second)
 	return w
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -10,12 +10,12 @@
 func TestWithRepeat(t *testing.T) {
 	cases := map[string]struct {
 		requests int
-		repeats  int
-		gap      time.Duration // gap lies between the requests and the repeats.
+		retries  int
+		delay    time.Duration // between the requests and the retries
 		bound    Bound
-		want     int // want is the number of repeats that pass.
+		want     int // number of retries allowed
 	}{
-		"slack-alone":       {0, 5, 0, Bound{Slack: 3}, 3},
+		"slack-only":        {0, 5, 0, Bound{Slack: 3}, 3},
 		"ratio":             {10, 9, 0, Bound{Ratio: 0.5}, 5},
 		"ratio-and-slack":   {10, 20, 0, Bound{Ratio: 0.5, Slack: 2}, 7},
 		"within-the-window": {10, 9, 9 * time.Second, Bound{Ratio: 0.5}, 5},
@@ -29,16 +29,16 @@
 			for range test.requests {
 				w = w.WithRequest(now)
 			}
-			passed := 0
-			for range test.repeats {
-				next, ok := w.WithRepeat(now+test.gap, test.bound)
+			allowed := 0
+			for range test.retries {
+				next, ok := w.WithRepeat(now+test.delay, test.bound)
 				if ok {
-					passed++
+					allowed++
 				}
 				w = next
 			}
-			quicktest.Assert(t, passed, quicktest.Equals, test.want)
-			quicktest.Assert(t, w.Left(now+test.gap, test.bound), quicktest.Equals, 0)
+			quicktest.Assert(t, allowed, quicktest.Equals, test.want)
+			quicktest.Assert(t, w.Left(now+test.delay, test.bound), quicktest.Equals, 0)
 		})
 	}
 }
@@ -46,18 +46,18 @@
 func TestWithOverdraft(t *testing.T) {
 	fleet, own := Bound{Ratio: 0.8, Slack: 150}, Bound{Ratio: 0.6, Slack: 1}
 	cases := map[string]struct {
-		requests         int
-		others, repeated int // others and repeated are the requests and repeats of all others.
-		tries            int
-		want             int // want is the number of repeats that pass.
+		requests                    int
+		otherRequests, otherRetries int // of all other instances
+		tries                       int
+		want                        int // number of retries allowed
 	}{
-		"fleet-is-idle":       {10, 500, 0, 100, 32},
-		"fleet-is-half-used":  {10, 500, 279, 100, 0},
-		"fleet-is-close":      {10, 500, 274, 100, 5},
-		"nothing-is-known":    {10, 0, 0, 100, 32},
-		"no-requests-at-all":  {0, 0, 0, 100, 8},
-		"fleet-is-overspent":  {10, 500, 900, 100, 0},
-		"less-than-its-share": {10, 500, 0, 3, 3},
+		"fleet-is-idle":            {10, 500, 0, 100, 32},
+		"fleet-is-half-used":       {10, 500, 279, 100, 0},
+		"fleet-is-just-below-half": {10, 500, 274, 100, 5},
+		"no-reports":               {10, 0, 0, 100, 32},
+		"no-requests-at-all":       {0, 0, 0, 100, 8},
+		"fleet-is-over-its-bound":  {10, 500, 900, 100, 0},
+		"few-tries":                {10, 500, 0, 3, 3},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,15 +65,15 @@
 			for range test.requests {
 				w = w.WithRequest(time.Minute)
 			}
-			passed := 0
+			allowed := 0
 			for range test.tries {
-				next, ok := w.WithOverdraft(time.Minute, Overdraft{Requests: test.others, Repeats: test.repeated, Fleet: fleet, Own: own})
+				next, ok := w.WithOverdraft(time.Minute, Overdraft{Requests: test.otherRequests, Repeats: test.otherRetries, Fleet: fleet, Own: own})
 				if ok {
-					passed++
+					allowed++
 				}
 				w = next
 			}
-			quicktest.Assert(t, passed, quicktest.Equals, test.want)
+			quicktest.Assert(t, allowed, quicktest.Equals, test.want)
 		})
 	}
 }
