--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -33,7 +33,7 @@
 type Queue struct {
 	tickets     []Ticket // in order of arrival
 	virtualTime float64
-	finishTimes map[string]float64 // by organisation, of its last served ticket, or the time when it began to wait
+	finishTimes map[string]float64 // virtual; by organisation, of its last served ticket or when it began to wait
 	next        uint64             // ID of the next ticket
 }
 
--- a/core/flow/gaps.go
+++ b/core/flow/gaps.go
@@ -4,7 +4,7 @@
 
 // Timeouts after which a silent engine is suspect.
 const (
-	FirstTokenPatience = 2 * time.Second        // FirstTokenPatience is the timeout of the first token, with prefill.
+	FirstTokenPatience = 2 * time.Second        // FirstTokenPatience applies until the first token, prefill included.
 	MinPatience        = 150 * time.Millisecond // MinPatience is the least timeout between two tokens.
 	MaxPatience        = time.Second            // MaxPatience leaves time to resume within the required 3 s.
 )
--- a/core/health/belief.go
+++ b/core/health/belief.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	minSuspicion      = 800 * time.Millisecond // after the first loss; engines of a lost domain return in about a second
+	minSuspicion      = 800 * time.Millisecond // after the first loss; engines of a lost domain are back in about 1 s
 	maxSuspicion      = 4 * time.Second        // bounds the doubling with each further loss
 	failureHalfLife   = 3 * time.Second        // lets the failure rate decay, so that a recovered target is tried again
 	sampleWeight      = 0.2                    // of a new outcome in the EWMAs of failure rate and latency
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -53,7 +53,7 @@
 }
 
 // Callable returns the caller addresses of the alive members that are not leaving, without self unless it is ready. If
-// half of the members or more seem lost, self is more likely cut off, and all that are not leaving are returned.
+// half of the members or more seem lost, self is more likely cut off, and the lost ones are included.
 func (v View) Callable(self string, ready bool) []string {
 	var alive, all []string
 	for _, m := range v.All() {
