--- a/entry/picker/bench_test.go
+++ b/entry/picker/bench_test.go
@@ -12,16 +12,16 @@
 	"github.com/apex/log/handlers/discard"
 )
 
-// crowd returns a picker of many targets, and the statements of many instances with a dozen streams each.
-func crowd(b *testing.B, instances, targets int) (*Picker, []wire.Load) {
-	source := fixed{changed: make(chan struct{})}
+// newLoadedPicker returns a picker over many targets, and load reports of many instances with twelve streams each.
+func newLoadedPicker(b *testing.B, instances, targets int) (*Picker, []wire.Load) {
+	source := staticSource{changed: make(chan struct{})}
 	for i := range targets {
 		source.targets = append(source.targets, site.Target{Name: fmt.Sprint("i-00000", i), Service: "s", Address: fmt.Sprint("10.0.0.1:", i), Domain: "x", Revision: uint64(i + 1)})
 	}
 	p := New(source, func(string) {}, &log.Logger{Handler: discard.New()}, metrics.NewSet())
 	b.Cleanup(p.Close)
 	p.Name("self", 1)
-	for p.table.Load().roster.Len() < targets {
+	for p.targetTable.Load().roster.Len() < targets {
 		time.Sleep(time.Millisecond)
 	}
 	loads := make([]wire.Load, instances)
@@ -36,27 +36,27 @@
 	return p, loads
 }
 
-// BenchmarkMerge measures what one peer's own statement costs where many are known.
+// BenchmarkMerge measures the cost of merging one peer's load report into those of all instances.
 func BenchmarkMerge(b *testing.B) {
-	for name, size := range map[string][2]int{"today": {7, 27}, "grown": {89, 183}, "large": {300, 3000}} {
+	for name, size := range map[string][2]int{"small": {7, 27}, "medium": {89, 183}, "large": {300, 3000}} {
 		b.Run(name, func(b *testing.B) {
-			p, loads := crowd(b, size[0], size[1])
+			p, loads := newLoadedPicker(b, size[0], size[1])
 			p.Merge(loads)
 			b.ReportAllocs()
 			for n := uint64(2); b.Loop(); n++ {
-				own := loads[0]
-				own.Sequence = n
-				p.Merge([]wire.Load{own})
+				load := loads[0]
+				load.Sequence = n
+				p.Merge([]wire.Load{load})
 			}
 		})
 	}
 }
 
-// BenchmarkStatements measures how large all statements are and what their encoding costs.
+// BenchmarkStatements measures the encoded size of all load reports and the cost of encoding and decoding them.
 func BenchmarkStatements(b *testing.B) {
-	for name, size := range map[string][2]int{"grown": {89, 183}, "large": {300, 3000}} {
+	for name, size := range map[string][2]int{"medium": {89, 183}, "large": {300, 3000}} {
 		b.Run(name, func(b *testing.B) {
-			p, loads := crowd(b, size[0], size[1])
+			p, loads := newLoadedPicker(b, size[0], size[1])
 			p.Merge(loads)
 			var raw []byte
 			for b.Loop() {
@@ -70,11 +70,11 @@
 	}
 }
 
-// BenchmarkStream measures the choice of a stream's target and of the one that keeps its copy.
+// BenchmarkStream measures the choice of a stream's target and of the one that keeps its replica.
 func BenchmarkStream(b *testing.B) {
-	for name, size := range map[string][2]int{"today": {7, 27}, "grown": {89, 183}, "large": {300, 3000}} {
+	for name, size := range map[string][2]int{"small": {7, 27}, "medium": {89, 183}, "large": {300, 3000}} {
 		b.Run(name, func(b *testing.B) {
-			p, loads := crowd(b, size[0], size[1])
+			p, loads := newLoadedPicker(b, size[0], size[1])
 			p.Merge(loads)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
--- a/entry/picker/choose.go
+++ b/entry/picker/choose.go
@@ -12,97 +12,121 @@
 	"github.com/apex/log"
 )
 
+// Costs of a target are counted in running streams.
 const (
-	plainLatency  = 20 * time.Millisecond // plainLatency stands in for the latency of a target that has not answered yet.
-	explore       = 0.03                  // explore is the share of plain requests that go to a random sound target, so that a belief is renewed.
-	rankCost      = 0.5                   // rankCost is how many streams the next place in the order of a session outweighs.
-	readCost      = 1.0 / 8000            // readCost makes an unread prompt of 8,000 tokens count as much as a running stream.
-	copyCost      = 0.4                   // copyCost is how many streams a copy outweighs: it takes the memory of one and no time.
-	placeGain     = 6                     // placeGain is how many streams the target outweighs that has read the session's prompt: reading 8,000 tokens again takes a second of its time and is dear.
-	copyRoom      = 0.75                  // copyRoom is the part of a target's memory up to which it takes copies.
-	sessionWidth  = 4                     // sessionWidth is the number of targets that a session's streams are spread over.
-	suspectWeight = 1000                  // suspectWeight puts suspects behind every other target.
+	// defaultLatency stands in for the latency of a target that has not answered yet.
+	defaultLatency = 20 * time.Millisecond
+
+	// exploreShare is the share of non-streaming requests that go to a random candidate, so that the latency and
+	// failure rate of slow or failing targets are measured again.
+	exploreShare = 0.03
+
+	// costPerRank is the cost of each further rank in the order of a session.
+	costPerRank = 0.5
+
+	// costPerUnreadToken makes an unread prompt of 8,000 tokens cost as much as a running stream.
+	costPerUnreadToken = 1.0 / 8000
+
+	// costPerReplica is below 1 since a replica takes the memory of a stream but no compute time.
+	costPerReplica = 0.4
+
+	// cachedPromptGain is subtracted for the target that has already read the session's prompt: reading 8,000 tokens
+	// again elsewhere takes a second of a target's time, which is expensive.
+	cachedPromptGain = 6
+
+	// replicaMemoryShare is the part of a target's memory up to which it takes replicas.
+	replicaMemoryShare = 0.75
+
+	// rankedTargets is the number of targets among which the streams of a session are spread, in the session's order.
+	rankedTargets = 4
+
+	// sameDomainCost puts the targets of the excluded failure domain behind all others.
+	sameDomainCost = 1000
 )
 
-// Pick is a target that was chosen, with one request counted there until Release.
+// Pick is a chosen target with one request counted on it until Release is called.
 type Pick struct {
-	Target  site.Target
-	state   *state
-	picker  *Picker
-	prompt  int
-	stream  bool
-	session string // session is that of a stream.
+	Target       site.Target
+	targetState  *targetState
+	picker       *Picker
+	promptTokens int
+	isStream     bool
+	session      string // session is set for streams only.
 }
 
-// Want describes the request that a target is chosen for.
+// Want describes the request that needs a target.
 type Want struct {
 	Service string
-	Session string // Session makes the same order of targets on every instance, or is empty.
-	Prompt  int    // Prompt is the number of tokens to be read, or 0.
-	Memory  int    // Memory is the capacity of one target in tokens, or 0.
-	Avoid   map[string]bool
+	Session string          // Session selects the order of targets, the same on every instance; empty for a random one.
+	Prompt  int             // Prompt is the number of prompt tokens to be read, or 0.
+	Memory  int             // Memory is the capacity of one target in tokens, or 0 if it is unknown.
+	Avoid   map[string]bool // Avoid holds the names of targets that must not be chosen.
 }
 
-// Plain chooses a target for a request that is answered as a whole.
-func (p *Picker) Plain(w Want) (*Pick, bool) {
-	t := p.table.Load()
-	open := sound(t, w)
-	if len(open) == 0 {
+// Plain chooses a target for a non-streaming request: mostly the one with the lowest product of requests in flight,
+// latency and failure rate.
+func (p *Picker) Plain(want Want) (*Pick, bool) {
+	t := p.targetTable.Load()
+	candidates := candidatesFor(t, want)
+	if len(candidates) == 0 {
 		return nil, false
 	}
 	now := time.Now()
-	best, cost := 0, 0.0
-	for i, target := range open {
+	best, bestCost := 0, 0.0
+	for i, target := range candidates {
 		s := t.states[target.Name]
-		belief := s.belief.Load()
-		own := float64(s.flying.Load()+1) * belief.Cost(now, plainLatency) * (1 + rand.Float64()/4)
-		if i == 0 || own < cost {
-			best, cost = i, own
+		healthStatus := s.healthStatus.Load()
+		cost := float64(s.inFlight.Load()+1) * healthStatus.Cost(now, defaultLatency) * (1 + rand.Float64()/4)
+		if i == 0 || cost < bestCost {
+			best, bestCost = i, cost
 		}
 	}
-	if rand.Float64() < explore {
-		best = rand.IntN(len(open))
+	if rand.Float64() < exploreShare {
+		best = rand.IntN(len(candidates))
 	}
-	return p.hold(t, *open[best], 0), true
+	return p.reserve(t, *candidates[best], 0), true
 }
 
-// Stream chooses a target for a stream: among the first few in the order of its session, the one with the least to do.
-func (p *Picker) Stream(w Want) (*Pick, bool) {
-	p.freshen()
-	t := p.table.Load()
-	open := sound(t, w)
-	if len(open) == 0 {
+// Stream chooses the target with the lowest cost for a stream. The cost is the load from all instances; the first few
+// targets in the order of the session are preferred, and most of all the one that has already read its prompt.
+func (p *Picker) Stream(want Want) (*Pick, bool) {
+	p.refreshSums()
+	t := p.targetTable.Load()
+	candidates := candidatesFor(t, want)
+	if len(candidates) == 0 {
 		return nil, false
 	}
-	order := newOrder(w.Session, open)
-	before := p.placeOf(w.Session)
-	best := choice{}
-	for i, target := range open {
-		load := t.states[target.Name].load() + order.cost(i)
-		if target.Name == before {
-			load -= placeGain
+	order := newSessionOrder(want.Session, candidates)
+	previous := p.lastTarget(want.Session)
+	best := candidate{}
+	for i, target := range candidates {
+		cost := t.states[target.Name].cost() + order.rankCost(i)
+		if target.Name == previous {
+			cost -= cachedPromptGain
 		}
-		best = best.better(target, load, order.scores[i])
+		best = best.orCheaper(target, cost, order.scores[i])
 	}
-	return p.fly(t, *best.target, w), true
+	return p.reserveStream(t, *best.target, want), true
 }
 
-// Backup chooses the target that keeps a copy of a stream: the first in the order of its session outside a failure domain.
-func (p *Picker) Backup(w Want, domain string) (site.Target, bool) {
-	p.freshen()
-	t := p.table.Load()
-	open := sound(t, w)
-	order := newOrder(w.Session, open)
-	best := choice{}
-	for i, target := range open {
-		if !t.states[target.Name].roomy(w) {
+// Backup chooses the target that keeps a replica of a stream's prompt memory, from which the stream can be resumed: the
+// one with the lowest cost outside the given failure domain or, when there is none, inside it. It returns false when no
+// candidate has memory left.
+func (p *Picker) Backup(want Want, domain string) (site.Target, bool) {
+	p.refreshSums()
+	t := p.targetTable.Load()
+	candidates := candidatesFor(t, want)
+	order := newSessionOrder(want.Session, candidates)
+	best := candidate{}
+	for i, target := range candidates {
+		if !t.states[target.Name].hasReplicaRoom(want) {
 			continue
 		}
-		own := t.states[target.Name].load() + order.cost(i)
+		totalCost := t.states[target.Name].cost() + order.rankCost(i)
 		if target.Domain == domain {
-			own += suspectWeight
+			totalCost += sameDomainCost
 		}
-		best = best.better(target, own, order.scores[i])
+		best = best.orCheaper(target, totalCost, order.scores[i])
 	}
 	if best.target == nil {
 		return site.Target{}, false
@@ -110,166 +134,171 @@
 	return *best.target, true
 }
 
-// IsSound tells whether a target is open under the same start and not suspect.
+// IsSound reports whether a target is neither removed, restarted, draining nor suspect.
 func (p *Picker) IsSound(target site.Target) bool {
-	t := p.table.Load()
-	now, ok := t.roster.Get(target.Name)
-	return ok && !now.Leaving && now.Follows(target) &&
-		!t.states[target.Name].belief.Load().Suspect(time.Now())
+	t := p.targetTable.Load()
+	current, ok := t.roster.Get(target.Name)
+	return ok && !current.Leaving && current.Follows(target) &&
+		!t.states[target.Name].healthStatus.Load().Suspect(time.Now())
 }
 
-// Sound holds a target for a stream if it is sound.
-func (p *Picker) Sound(target site.Target, w Want) (*Pick, bool) {
+// Sound picks a given target for a stream if IsSound holds for it.
+func (p *Picker) Sound(target site.Target, want Want) (*Pick, bool) {
 	if !p.IsSound(target) {
 		return nil, false
 	}
-	t := p.table.Load()
-	now, ok := t.roster.Get(target.Name)
+	t := p.targetTable.Load()
+	current, ok := t.roster.Get(target.Name)
 	if !ok {
 		return nil, false
 	}
-	w.Prompt = 0
-	return p.fly(t, now, w), true
+	want.Prompt = 0
+	return p.reserveStream(t, current, want), true
 }
 
-// fly counts a stream on a target.
-func (p *Picker) fly(t table, target site.Target, w Want) *Pick {
-	k := p.hold(t, target, w.Prompt)
-	k.stream, k.session = true, w.Session
-	k.state.streams.Add(1)
-	p.enter(w.Session, target.Name)
+// reserveStream counts a stream on a target and records the target as that of the session.
+func (p *Picker) reserveStream(t targetTable, target site.Target, want Want) *Pick {
+	k := p.reserve(t, target, want.Prompt)
+	k.isStream, k.session = true, want.Session
+	k.targetState.streams.Add(1)
+	p.addStream(want.Session, target.Name)
 	return k
 }
 
-// Keep counts a copy that a target keeps until release is called.
+// Keep counts a replica on a target until release is called.
 func (p *Picker) Keep(target site.Target) (release func()) {
-	s, ok := p.table.Load().states[target.Name]
+	s, ok := p.targetTable.Load().states[target.Name]
 	if !ok {
 		return func() {}
 	}
-	s.copies.Add(1)
-	return sync.OnceFunc(func() { s.copies.Add(-1) })
+	s.replicas.Add(1)
+	return sync.OnceFunc(func() { s.replicas.Add(-1) })
 }
 
-// hold counts a request on a target.
-func (p *Picker) hold(t table, target site.Target, prompt int) *Pick {
+// reserve counts a request on a target.
+func (p *Picker) reserve(t targetTable, target site.Target, promptTokens int) *Pick {
 	s := t.states[target.Name]
-	s.flying.Add(1)
-	s.reading.Add(int64(prompt))
-	return &Pick{Target: target, state: s, picker: p, prompt: prompt}
+	s.inFlight.Add(1)
+	s.unreadTokens.Add(int64(promptTokens))
+	return &Pick{Target: target, targetState: s, picker: p, promptTokens: promptTokens}
 }
 
-// DomainLostSince tells whether this instance lost any target of the failure domain after a time.
-func (k *Pick) DomainLostSince(at time.Time) bool {
-	lost, ok := k.picker.dark.Load(k.Target.Domain)
-	return ok && lost.(time.Time).After(at)
+// DomainLostSince reports whether any target in the pick's failure domain was lost after a time, as observed here or
+// reported by a peer.
+func (k *Pick) DomainLostSince(since time.Time) bool {
+	lostAt, ok := k.picker.domainLostAt.Load(k.Target.Domain)
+	return ok && lostAt.(time.Time).After(since)
 }
 
-// Failed notes that the target failed the request by itself.
+// Failed records that the target failed the request although it was reachable.
 func (k *Pick) Failed() {
-	k.state.update(func(b health.Belief) health.Belief { return b.WithFailure(time.Now()) })
+	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithFailure(time.Now()) })
 }
 
-// Gone notes that another target answered at the address, so that this one has ended, and tells whether that is news.
+// Gone records that another target answered at the address, so that this one has ended. It returns whether that was
+// not known before.
 func (k *Pick) Gone() bool {
-	known := k.state.belief.Load().Gone()
-	if !known {
-		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "address": k.Target.Address, "revision": k.Target.Revision}).Warn("another target has the address")
+	alreadyGone := k.targetState.healthStatus.Load().Gone()
+	if !alreadyGone {
+		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "address": k.Target.Address, "revision": k.Target.Revision}).Warn("another target answers at the address; this one gets no more requests")
 	}
-	k.state.update(health.Belief.WithEnd)
-	return !known
+	k.targetState.updateHealth(health.Belief.WithEnd)
+	return !alreadyGone
 }
 
-// Heard notes a sign of life.
+// Heard records that the target sent something, so that it is no longer suspect.
 func (k *Pick) Heard() {
-	if k.state.belief.Load().Suspect(time.Now()) {
-		k.state.update(health.Belief.WithLife)
+	if k.targetState.healthStatus.Load().Suspect(time.Now()) {
+		k.targetState.updateHealth(health.Belief.WithLife)
 	}
 }
 
-// Latency returns the mean latency of the target's whole answers, or 0.
+// Latency returns the average latency of the target's complete answers, or 0 when there is none.
 func (k *Pick) Latency() time.Duration {
-	return k.state.belief.Load().Latency()
+	return k.targetState.healthStatus.Load().Latency()
 }
 
-// Lost notes that the target could not be reached or fell silent.
+// Lost records that the target was unreachable or stopped sending.
 func (k *Pick) Lost(cause string) {
-	k.picker.losses.Inc()
-	k.picker.dark.Store(k.Target.Domain, time.Now())
-	suspect := k.state.belief.Load().Suspect(time.Now())
-	k.state.update(func(b health.Belief) health.Belief { return b.WithLoss(time.Now()) })
-	if !suspect {
+	k.picker.targetsLost.Inc()
+	k.picker.domainLostAt.Store(k.Target.Domain, time.Now())
+	wasSuspect := k.targetState.healthStatus.Load().Suspect(time.Now())
+	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithLoss(time.Now()) })
+	if !wasSuspect {
 		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "domain": k.Target.Domain, "cause": cause}).Warn("target is suspect")
 	}
 }
 
-// Read notes that the prompt was read.
+// Read records that the target has read the prompt.
 func (k *Pick) Read() {
-	k.state.reading.Add(-int64(k.prompt))
-	k.prompt = 0
+	k.targetState.unreadTokens.Add(-int64(k.promptTokens))
+	k.promptTokens = 0
 }
 
-// Release counts the request off.
+// Release removes the request from the counts of the target.
 func (k *Pick) Release() {
 	k.Read()
-	k.state.flying.Add(-1)
-	if k.stream {
-		k.state.streams.Add(-1)
-		k.picker.exit(k.session, k.Target.Name)
+	k.targetState.inFlight.Add(-1)
+	if k.isStream {
+		k.targetState.streams.Add(-1)
+		k.picker.removeStream(k.session, k.Target.Name)
 	}
 }
 
-// Succeeded notes a whole answer.
+// Succeeded records a complete answer.
 func (k *Pick) Succeeded(took time.Duration) {
-	k.state.update(func(b health.Belief) health.Belief { return b.WithSuccess(time.Now(), took) })
+	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithSuccess(time.Now(), took) })
 }
 
-// load returns what all instances have running at a target, in streams.
-func (s *state) load() float64 {
-	others := s.others.Load()
-	return float64(s.streams.Load()+int64(others.Flying)) +
-		readCost*float64(s.reading.Load()+int64(others.Tokens)) +
-		copyCost*float64(s.copies.Load()+int64(others.Copies))
+// cost returns the cost of what all instances run on the target, and of the replicas that it keeps for them.
+func (s *targetState) cost() float64 {
+	remoteLoad := s.remoteLoad.Load()
+	return float64(s.streams.Load()+int64(remoteLoad.Flying)) +
+		costPerUnreadToken*float64(s.unreadTokens.Load()+int64(remoteLoad.Tokens)) +
+		costPerReplica*float64(s.replicas.Load()+int64(remoteLoad.Copies))
 }
 
-// roomy tells whether a target has room for one more copy; when memory runs short, copies would make runs wait.
-func (s *state) roomy(w Want) bool {
-	if w.Memory == 0 || w.Prompt == 0 {
+// hasReplicaRoom reports whether the target has memory for one more replica, assuming that each stream and replica
+// takes as much as want's prompt. When memory runs short, replicas would make streams wait.
+func (s *targetState) hasReplicaRoom(want Want) bool {
+	if want.Memory == 0 || want.Prompt == 0 {
 		return true
 	}
-	others := s.others.Load()
-	held := s.streams.Load() + s.copies.Load() + int64(others.Flying+others.Copies) + 1
-	return float64(held*int64(w.Prompt)) <= copyRoom*float64(w.Memory)
+	remoteLoad := s.remoteLoad.Load()
+	promptsHeld := s.streams.Load() + s.replicas.Load() + int64(remoteLoad.Flying+remoteLoad.Copies) + 1
+	return float64(promptsHeld*int64(want.Prompt)) <= replicaMemoryShare*float64(want.Memory)
 }
 
-// choice is the best target so far; its zero value is none.
-type choice struct {
+// candidate is the best target so far; the zero value is none.
+type candidate struct {
 	target *site.Target
 	cost   float64
 	score  uint64
 }
 
-// better returns the target of lower cost, of equal ones the first in the order of their session.
-func (c choice) better(target *site.Target, cost float64, score uint64) choice {
+// orCheaper returns the given target if it costs less than c, or as much and precedes it in the order of the session;
+// otherwise c.
+func (c candidate) orCheaper(target *site.Target, cost float64, score uint64) candidate {
 	switch {
 	case c.target == nil, cost < c.cost:
 	case cost > c.cost, score < c.score, score == c.score && target.Name > c.target.Name:
 		return c
 	}
-	return choice{target: target, cost: cost, score: score}
+	return candidate{target: target, cost: cost, score: score}
 }
 
-// order is that of a session, the same on every instance; without a session it is random. Only the first few places matter, so nothing is sorted.
-type order struct {
+// sessionOrder is the order of targets for a session by rendezvous hashing, which is the same on every instance;
+// without a session it is random. Only the first few ranks matter, so the targets are not sorted.
+type sessionOrder struct {
 	scores []uint64
-	first  [sessionWidth]int // first holds the targets of the first places; -1 is none.
+	ranked [rankedTargets]int // ranked holds the indexes of the first targets in the order; -1 is none.
 }
 
-// newOrder returns the order of targets for a session.
-func newOrder(session string, targets []*site.Target) *order {
-	o := &order{scores: make([]uint64, len(targets))}
-	for place := range o.first {
-		o.first[place] = -1
+// newSessionOrder scores the targets for a session and ranks the first of them.
+func newSessionOrder(session string, targets []*site.Target) *sessionOrder {
+	o := &sessionOrder{scores: make([]uint64, len(targets))}
+	for rank := range o.ranked {
+		o.ranked[rank] = -1
 	}
 	for i, t := range targets {
 		if session == "" {
@@ -282,46 +311,47 @@
 	return o
 }
 
-// cost returns what a target's place in the order counts.
-func (o *order) cost(i int) float64 {
-	place := slices.Index(o.first[:], i)
-	if place < 0 {
-		place = sessionWidth
+// rankCost returns the cost of the i-th target's rank; all targets after the ranked ones cost the same.
+func (o *sessionOrder) rankCost(i int) float64 {
+	rank := slices.Index(o.ranked[:], i)
+	if rank < 0 {
+		rank = rankedTargets
 	}
-	return rankCost * float64(place)
+	return costPerRank * float64(rank)
 }
 
-// insert takes a target into the first places if it belongs there.
-func (o *order) insert(i int, targets []*site.Target) {
-	for place, other := range o.first {
+// insert puts the i-th target into its rank if it is among the first.
+func (o *sessionOrder) insert(i int, targets []*site.Target) {
+	for rank, other := range o.ranked {
 		if other >= 0 && (o.scores[other] > o.scores[i] || o.scores[other] == o.scores[i] && targets[other].Name < targets[i].Name) {
 			continue
 		}
-		copy(o.first[place+1:], o.first[place:])
-		o.first[place] = i
+		copy(o.ranked[rank+1:], o.ranked[rank:])
+		o.ranked[rank] = i
 		return
 	}
 }
 
-// sound returns the open targets of a service that are neither suspect nor to be avoided; when there is none, the suspects too.
-func sound(t table, w Want) []*site.Target {
+// candidatesFor returns the targets of a service that take new requests and are neither avoided nor suspect or, when
+// there is none, the suspect ones that have not ended.
+func candidatesFor(t targetTable, want Want) []*site.Target {
 	now := time.Now()
-	open := t.roster.Open(w.Service)
+	open := t.roster.Open(want.Service)
 	healthy := make([]*site.Target, 0, len(open))
-	var rest []*site.Target
+	var suspects []*site.Target
 	for i := range open {
 		target := &open[i]
-		belief := t.states[target.Name].belief.Load()
+		healthStatus := t.states[target.Name].healthStatus.Load()
 		switch {
-		case w.Avoid[target.Name] || belief.Gone():
-		case belief.Suspect(now):
-			rest = append(rest, target)
+		case want.Avoid[target.Name] || healthStatus.Gone():
+		case healthStatus.Suspect(now):
+			suspects = append(suspects, target)
 		default:
 			healthy = append(healthy, target)
 		}
 	}
 	if len(healthy) == 0 {
-		return rest
+		return suspects
 	}
 	return healthy
 }
--- a/entry/picker/loads.go
+++ b/entry/picker/loads.go
@@ -7,180 +7,189 @@
 )
 
 const (
-	loadLife       = 3 * time.Second // loadLife is the age from which what an instance said of its load is forgotten; it says so anew every second or so, in a large fleet less often.
-	missed         = 2.5             // missed is how many times a statement may fail to come anew before it is forgotten, where that takes longer.
-	sequenceOfLife = 1 << 32         // sequenceOfLife is more than the statements of one start.
+	// minReportTTL is the minimum age at which a received load report expires. Instances send one about every second,
+	// less often in a large fleet.
+	minReportTTL = 3 * time.Second
+
+	// reportTTLIntervals is the age at which a report expires, in reporting intervals, if that is longer.
+	reportTTLIntervals = 2.5
+
+	// sequencesPerStart exceeds the number of reports of one start, so that the sequence grows across restarts.
+	sequencesPerStart = 1 << 32
 )
 
-// statement is what an instance said of its load, and when it was heard here.
-type statement struct {
-	load  wire.Load
-	heard time.Time
+// loadReport is the load that an instance reported, and when it was received here.
+type loadReport struct {
+	load     wire.Load
+	received time.Time
 }
 
-// Expect takes the time in which statements come anew.
-func (p *Picker) Expect(period time.Duration) {
-	p.life.Store(int64(max(loadLife, time.Duration(missed*float64(period)))))
+// Expect sets the interval at which instances send load reports, which determines the age at which reports expire.
+func (p *Picker) Expect(interval time.Duration) {
+	p.reportTTL.Store(int64(max(minReportTTL, time.Duration(reportTTLIntervals*float64(interval)))))
 }
 
-// lapsed tells whether a statement is too old to count.
-func (p *Picker) lapsed(s statement, now time.Time) bool {
-	return now.Sub(s.heard) > time.Duration(p.life.Load())
+// isExpired reports whether a load report is too old to count.
+func (p *Picker) isExpired(report loadReport, now time.Time) bool {
+	return now.Sub(report.received) > time.Duration(p.reportTTL.Load())
 }
 
-// Known tells which statements of other instances are held.
+// Known returns the sequences of the load reports that were received from other instances.
 func (p *Picker) Known() []wire.Said {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := make([]wire.Said, 0, len(p.heard))
-	for name, s := range p.heard {
-		known = append(known, wire.Said{Instance: name, Sequence: s.load.Sequence})
+	known := make([]wire.Said, 0, len(p.received))
+	for name, report := range p.received {
+		known = append(known, wire.Said{Instance: name, Sequence: report.load.Sequence})
 	}
 	return known
 }
 
-// Newer returns the statements that a peer lacks, this instance's included.
+// Newer returns the load reports that a peer lacks by its known sequences, and a new one of this instance. It drops
+// expired reports.
 func (p *Picker) Newer(known []wire.Said) []wire.Load {
 	now := time.Now()
-	has := make(map[string]uint64, len(known))
-	for _, s := range known {
-		has[s.Instance] = s.Sequence
+	peerSequences := make(map[string]uint64, len(known))
+	for _, report := range known {
+		peerSequences[report.Instance] = report.Sequence
 	}
 	loads := []wire.Load{p.Own()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, s := range p.heard {
+	for name, report := range p.received {
 		switch {
-		case p.lapsed(s, now):
-			delete(p.heard, name)
-		case s.load.Sequence > has[name]:
-			loads = append(loads, s.load)
+		case p.isExpired(report, now):
+			delete(p.received, name)
+		case report.load.Sequence > peerSequences[name]:
+			loads = append(loads, report.load)
 		}
 	}
 	return loads
 }
 
-// Own returns a new statement of this instance's load.
+// Own returns a new load report of this instance.
 func (p *Picker) Own() wire.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sequence++
-	l := wire.Load{Instance: p.name, Sequence: p.sequence, Targets: p.own(), Runs: p.ownRuns(time.Now())}
-	p.dark.Range(func(domain, at any) bool {
-		if age := time.Since(at.(time.Time)); age < loadLife {
-			l.Lost = append(l.Lost, wire.DomainLoss{Domain: domain.(string), Age: age})
+	load := wire.Load{Instance: p.instance, Sequence: p.sequence, Targets: p.targetLoads(), Runs: p.ownPlacements(time.Now())}
+	p.domainLostAt.Range(func(domain, lostAt any) bool {
+		if age := time.Since(lostAt.(time.Time)); age < minReportTTL {
+			load.Lost = append(load.Lost, wire.DomainLoss{Domain: domain.(string), Age: age})
 		}
 		return true
 	})
-	if usage := p.usage.Load(); usage != nil {
-		l.Spent = (*usage)()
+	if localUsage := p.localUsage.Load(); localUsage != nil {
+		load.Spent = (*localUsage)()
 	}
-	for _, h := range p.successors.Load().Unlisted() {
-		l.Successors = append(l.Successors, wire.Successor{Name: h.Name, Of: h.Of.Name, Started: h.Of.Started, Address: h.Of.Address, Age: time.Since(h.Found)})
+	for _, successor := range p.successors.Load().Unlisted() {
+		load.Successors = append(load.Successors, wire.Successor{Name: successor.Name, Of: successor.Of.Name, Started: successor.Of.Started, Address: successor.Of.Address, Age: time.Since(successor.Found)})
 	}
-	return l
+	return load
 }
 
-// Report sets the function that tells what this instance sent to each service lately.
-func (p *Picker) Report(usage func() []wire.Usage) {
-	p.usage.Store(&usage)
+// Report sets the function that returns how many requests this instance recently sent to each service.
+func (p *Picker) Report(localUsage func() []wire.Usage) {
+	p.localUsage.Store(&localUsage)
 }
 
-// Used returns what all other instances sent to a service lately, as far as it is known here.
+// Used returns how many requests all other instances recently sent to a service, by their latest load reports.
 func (p *Picker) Used(service string) wire.Usage {
-	p.freshen()
+	p.refreshSums()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.used[service]
+	return p.remoteUsage[service]
 }
 
-// Merge takes what a peer knows, the newest statement of each instance.
+// Merge takes load reports from a peer and keeps the newest one of each other instance.
 func (p *Picker) Merge(loads []wire.Load) {
 	now := time.Now()
 	var successors []wire.Successor
 	p.mu.Lock()
-	for _, l := range loads {
-		if known, ok := p.heard[l.Instance]; l.Instance != p.name && (!ok || l.Sequence > known.load.Sequence) {
-			p.heard[l.Instance] = statement{load: l, heard: now}
-			p.notice(l.Lost, now)
-			successors = append(successors, l.Successors...)
+	for _, report := range loads {
+		if known, ok := p.received[report.Instance]; report.Instance != p.instance && (!ok || report.Sequence > known.load.Sequence) {
+			p.received[report.Instance] = loadReport{load: report, received: now}
+			p.mergeDomainLosses(report.Lost, now)
+			successors = append(successors, report.Successors...)
 		}
 	}
 	p.mu.Unlock()
-	p.stale.Store(true)
-	p.inherit(successors, now)
+	p.sumsStale.Store(true)
+	p.mergeSuccessors(successors, now)
 }
 
-// notice takes the losses of another instance as evidence of the same kind as its own.
-func (p *Picker) notice(losses []wire.DomainLoss, now time.Time) {
-	for _, l := range losses {
-		at := now.Add(-l.Age)
-		if known, ok := p.dark.Load(l.Domain); !ok || known.(time.Time).Before(at) {
-			p.dark.Store(l.Domain, at)
+// mergeDomainLosses records target losses that another instance reported in the same way as those observed here.
+func (p *Picker) mergeDomainLosses(losses []wire.DomainLoss, now time.Time) {
+	for _, loss := range losses {
+		lostAt := now.Add(-loss.Age)
+		if known, ok := p.domainLostAt.Load(loss.Domain); !ok || known.(time.Time).Before(lostAt) {
+			p.domainLostAt.Store(loss.Domain, lostAt)
 		}
 	}
 }
 
-// Name sets the name under which this instance states its load, and the number of its start.
-func (p *Picker) Name(name string, incarnation uint64) {
+// Name sets the name under which this instance reports its load, and the incarnation of its start.
+func (p *Picker) Name(instance string, incarnation uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.name = name
-	p.sequence = incarnation * sequenceOfLife
+	p.instance = instance
+	p.sequence = incarnation * sequencesPerStart
 }
 
-// own returns this instance's load.
-func (p *Picker) own() []wire.TargetLoad {
-	var own []wire.TargetLoad
-	for name, s := range p.table.Load().states {
-		l := wire.TargetLoad{Target: name, Flying: int(s.streams.Load()), Tokens: int(s.reading.Load()), Copies: int(s.copies.Load())}
-		if l.Flying > 0 || l.Tokens > 0 || l.Copies > 0 {
-			own = append(own, l)
+// targetLoads returns this instance's load on each target where it has any.
+func (p *Picker) targetLoads() []wire.TargetLoad {
+	var targetLoads []wire.TargetLoad
+	for name, s := range p.targetTable.Load().states {
+		load := wire.TargetLoad{Target: name, Flying: int(s.streams.Load()), Tokens: int(s.unreadTokens.Load()), Copies: int(s.replicas.Load())}
+		if load.Flying > 0 || load.Tokens > 0 || load.Copies > 0 {
+			targetLoads = append(targetLoads, load)
 		}
 	}
-	return own
+	return targetLoads
 }
 
-// freshen adds statements up that came since the last time; choices are rarer than statements.
-func (p *Picker) freshen() {
-	if !p.stale.Load() {
+// refreshSums computes the sums over reports if they are stale. It runs when the sums are needed and not at each
+// received report, since reports are received more often than targets are chosen.
+func (p *Picker) refreshSums() {
+	if !p.sumsStale.Load() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stale.Swap(false) {
-		p.spread(time.Now())
+	if p.sumsStale.Swap(false) {
+		p.sumReports(time.Now())
 	}
 }
 
-// spread adds the loads of other instances up for each target.
-func (p *Picker) spread(now time.Time) {
-	sums := make(map[string]wire.TargetLoad)
-	p.elsewhere = make(map[string]string)
-	p.used = make(map[string]wire.Usage)
-	for _, s := range p.heard {
-		if p.lapsed(s, now) {
+// sumReports computes the load, placements and usage of all other instances from the reports that have not expired; the
+// caller holds mu.
+func (p *Picker) sumReports(now time.Time) {
+	loadByTarget := make(map[string]wire.TargetLoad)
+	p.remotePlacements = make(map[string]string)
+	p.remoteUsage = make(map[string]wire.Usage)
+	for _, s := range p.received {
+		if p.isExpired(s, now) {
 			continue
 		}
-		for _, u := range s.load.Spent {
-			sum := p.used[u.Service]
-			sum.Requests += u.Requests
-			sum.Repeats += u.Repeats
-			p.used[u.Service] = sum
+		for _, usage := range s.load.Spent {
+			sum := p.remoteUsage[usage.Service]
+			sum.Requests += usage.Requests
+			sum.Repeats += usage.Repeats
+			p.remoteUsage[usage.Service] = sum
 		}
-		for _, r := range s.load.Runs {
-			p.elsewhere[r.Session] = r.Target
+		for _, run := range s.load.Runs {
+			p.remotePlacements[run.Session] = run.Target
 		}
-		for _, l := range s.load.Targets {
-			sum := sums[l.Target]
-			sum.Flying += l.Flying
-			sum.Tokens += l.Tokens
-			sum.Copies += l.Copies
-			sums[l.Target] = sum
+		for _, targetLoad := range s.load.Targets {
+			sum := loadByTarget[targetLoad.Target]
+			sum.Flying += targetLoad.Flying
+			sum.Tokens += targetLoad.Tokens
+			sum.Copies += targetLoad.Copies
+			loadByTarget[targetLoad.Target] = sum
 		}
 	}
-	for name, s := range p.table.Load().states {
-		sum := sums[name]
-		s.others.Store(&sum)
+	for name, s := range p.targetTable.Load().states {
+		sum := loadByTarget[name]
+		s.remoteLoad.Store(&sum)
 	}
 }
--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -16,108 +16,114 @@
 )
 
 const (
-	refresh   = 250 * time.Millisecond  // refresh is the time between two looks at targets that only lapsed.
-	keepLapse = 1500 * time.Millisecond // keepLapse is how long a target that vanished with the store is still used: a heartbeat and a little more; with the way of the news it stays below the 2 s in which a target that left must be free of new work.
+	// expiryCheckInterval is the reconcile interval while targets or successors are held that expire without an update.
+	expiryCheckInterval = 250 * time.Millisecond
+
+	// missingTargetGrace is how long a target that is missing from the source is still used while the source is not
+	// settled: one heartbeat and a little more. With the propagation delay of updates it stays below the 2 s within
+	// which a target that left must get no new work.
+	missingTargetGrace = 1500 * time.Millisecond
 )
 
-// Source gives the declared targets.
+// Source provides the declared targets.
 type Source interface {
 	// Changed returns a channel that closes at the next change.
 	Changed() <-chan struct{}
-	// Settled tells whether targets that are missing are gone.
+	// Settled reports whether targets that are missing from the list are really gone.
 	Settled() bool
-	// Targets returns all declared targets that can be read.
+	// Targets returns all declared targets whose declarations can be decoded.
 	Targets() []site.Target
 }
 
-// state is what this instance keeps of one start of a target.
-type state struct {
-	target  site.Target                     // target is the one that it was made for.
-	flying  atomic.Int64                    // flying counts the requests of this instance that are running there.
-	streams atomic.Int64                    // streams counts the streams among them.
-	reading atomic.Int64                    // reading counts the prompt tokens that it has not read yet.
-	copies  atomic.Int64                    // copies counts the copies of streams that this instance has kept there.
-	others  atomic.Pointer[wire.TargetLoad] // others is the load of all other instances.
-	belief  atomic.Pointer[health.Belief]
+// targetState is the state that this instance keeps for one start of a target.
+type targetState struct {
+	target       site.Target                     // target is the declaration that the state was created for.
+	inFlight     atomic.Int64                    // inFlight counts this instance's running requests, streams included.
+	streams      atomic.Int64                    // streams counts this instance's running streams.
+	unreadTokens atomic.Int64                    // unreadTokens counts the prompt tokens still to be read.
+	replicas     atomic.Int64                    // replicas counts the replicas of this instance's streams.
+	remoteLoad   atomic.Pointer[wire.TargetLoad] // remoteLoad is the sum of what all other instances reported.
+	healthStatus atomic.Pointer[health.Belief]
 }
 
-// table is the roster with the state of each target; its maps are never changed after construction.
-type table struct {
+// targetTable is the roster with the state of each target by name; its maps are never changed after construction.
+type targetTable struct {
 	roster *site.Roster
-	states map[string]*state
+	states map[string]*targetState
 }
 
-// Picker keeps the targets and chooses among them.
+// Picker tracks the targets and chooses among them.
 type Picker struct {
 	*wait.Loop
-	source     Source
-	gone       func(address string) // gone is told the address of each target that is gone.
-	log        log.Interface
-	table      *cell.Cell[table]
-	began      time.Time
-	losses     *metrics.Counter
-	dark       sync.Map                            // dark holds when a target of each failure domain was lost last, as a time.Time.
-	usage      atomic.Pointer[func() []wire.Usage] // usage tells what this instance sent lately, or is nil.
-	successors *cell.Cell[site.Successors]         // successors holds the targets that were found before they were listed, here or by a peer.
-	ended      sync.Map                            // ended holds when targets ended that were used here, as a time.Time.
-	stale      atomic.Bool                         // stale tells that statements came that are not added up yet.
-	life       atomic.Int64                        // life is the age from which statements are forgotten, in nanoseconds.
-	turn       sync.Mutex                          // turn lets one goroutine reconcile at a time.
-
-	mu        sync.Mutex
-	name      string
-	sequence  uint64
-	heard     map[string]statement  // heard holds the newest statement of each other instance.
-	places    map[string]place      // places holds where the sessions of this instance run.
-	elsewhere map[string]string     // elsewhere holds the targets of other instances\' sessions.
-	used      map[string]wire.Usage // used sums up what other instances sent to each service lately.
+	source       Source
+	onRemoved    func(address string) // onRemoved is called for each target that was removed, restarted or moved.
+	log          log.Interface
+	targetTable  *cell.Cell[targetTable]
+	startedAt    time.Time
+	targetsLost  *metrics.Counter
+	domainLostAt sync.Map                            // domainLostAt maps failure domains to the time.Time of a loss.
+	localUsage   atomic.Pointer[func() []wire.Usage] // localUsage returns the counts of this instance's requests.
+	successors   *cell.Cell[site.Successors]         // successors holds targets found before they were listed.
+	ended        sync.Map                            // ended maps the names of ended targets to a time.Time.
+	sumsStale    atomic.Bool                         // sumsStale tells that sumReports must run before the next use.
+	reportTTL    atomic.Int64                        // reportTTL is the age at which reports expire, in nanoseconds.
+	reconcileMu  sync.Mutex
+
+	mu               sync.Mutex
+	instance         string                // instance is the name under which this instance reports its load.
+	sequence         uint64                // sequence is that of the last load report.
+	received         map[string]loadReport // received maps each other instance to its newest load report.
+	placements       map[string]placement  // placements maps the sessions of this instance to their targets.
+	remotePlacements map[string]string     // remotePlacements maps the sessions of other instances to their targets.
+	remoteUsage      map[string]wire.Usage // remoteUsage maps services to the recent requests of other instances.
 }
 
-// New returns a picker that follows its source.
-func New(source Source, gone func(address string), logger log.Interface, set *metrics.Set) *Picker {
+// New returns a picker that follows source and calls onRemoved with the address of each target that was removed,
+// restarted or moved.
+func New(source Source, onRemoved func(address string), logger log.Interface, set *metrics.Set) *Picker {
 	p := &Picker{
-		source:     source,
-		gone:       gone,
-		log:        logger,
-		table:      cell.New(table{roster: (&site.Roster{}).WithTargets(nil, time.Now(), 0)}),
-		successors: cell.New(site.Successors{}),
-		began:      time.Now(),
-		heard:      make(map[string]statement),
-		places:     make(map[string]place),
-		losses:     set.GetOrCreateCounter("bramleywharf_targets_lost_total"),
+		source:      source,
+		onRemoved:   onRemoved,
+		log:         logger,
+		targetTable: cell.New(targetTable{roster: (&site.Roster{}).WithTargets(nil, time.Now(), 0)}),
+		successors:  cell.New(site.Successors{}),
+		startedAt:   time.Now(),
+		received:    make(map[string]loadReport),
+		placements:  make(map[string]placement),
+		targetsLost: set.GetOrCreateCounter("bramleywharf_targets_lost_total"),
 	}
-	p.life.Store(int64(loadLife))
-	set.NewGauge("bramleywharf_targets", func() float64 { return float64(p.table.Load().roster.Len()) })
-	set.NewGauge("bramleywharf_targets_suspect", p.suspects)
+	p.reportTTL.Store(int64(minReportTTL))
+	set.NewGauge("bramleywharf_targets", func() float64 { return float64(p.targetTable.Load().roster.Len()) })
+	set.NewGauge("bramleywharf_targets_suspect", p.suspectCount)
 	p.Loop = wait.Start(p.loop)
 	return p
 }
 
-// loop reconciles the table with the source.
+// loop reconciles the table at each change of the source, and periodically while entries are held that expire.
 func (p *Picker) loop(ctx context.Context) {
 	for {
 		changed := p.source.Changed()
 		p.reconcile()
-		var lapsed <-chan time.Time
-		if p.table.Load().roster.Lapsed() || p.successors.Load().Len() > 0 {
-			lapsed = time.After(refresh)
+		var expiryCheck <-chan time.Time
+		if p.targetTable.Load().roster.Lapsed() || p.successors.Load().Len() > 0 {
+			expiryCheck = time.After(expiryCheckInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-lapsed:
+		case <-expiryCheck:
 		}
 	}
 }
 
-// reconcile takes the declared targets into the table.
+// reconcile updates the table from the declared targets.
 func (p *Picker) reconcile() {
-	p.turn.Lock()
-	defer p.turn.Unlock()
-	keep, settled := keepLapse, p.source.Settled()
+	p.reconcileMu.Lock()
+	defer p.reconcileMu.Unlock()
+	grace, settled := missingTargetGrace, p.source.Settled()
 	if settled {
-		keep = 0
+		grace = 0
 	}
 	targets := p.source.Targets()
 	p.successors.Update(func(s site.Successors) site.Successors {
@@ -125,64 +131,64 @@
 		return s
 	})
 	var old, next *site.Roster
-	p.table.Update(func(t table) table {
-		old, next = t.roster, t.roster.WithTargets(targets, time.Now(), keep)
-		return table{roster: next, states: states(t, next)}
+	p.targetTable.Update(func(t targetTable) targetTable {
+		old, next = t.roster, t.roster.WithTargets(targets, time.Now(), grace)
+		return targetTable{roster: next, states: states(t, next)}
 	})
-	p.stale.Store(true) // New targets have no loads of others yet.
+	p.sumsStale.Store(true) // New targets have no remote load yet.
 	for name := range next.Moved(old) {
-		was, _ := old.Get(name)
-		p.gone(was.Address)
-		p.end(name, time.Now())
-		p.log.WithFields(log.Fields{"target": name, "address": was.Address, "revision": was.Revision}).Info("target is gone or started again")
+		previous, _ := old.Get(name)
+		p.onRemoved(previous.Address)
+		p.markEnded(name, time.Now())
+		p.log.WithFields(log.Fields{"target": name, "address": previous.Address, "revision": previous.Revision}).Info("target was removed, restarted or moved")
 	}
 	p.logChanges(old, next)
 }
 
-// logChanges logs targets that are new or leave.
+// logChanges logs targets that were added or have started to drain.
 func (p *Picker) logChanges(old, next *site.Roster) {
 	for _, t := range next.All() {
-		was, known := old.Get(t.Name)
+		previous, known := old.Get(t.Name)
 		fields := log.Fields{"target": t.Name, "address": t.Address, "service": t.Service, "domain": t.Domain, "revision": t.Revision}
 		switch {
 		case !known && old.Len() > 0:
-			p.log.WithFields(fields).Info("target is new")
-		case known && t.Leaving && !was.Leaving:
-			p.log.WithFields(fields).Info("target leaves")
+			p.log.WithFields(fields).Info("target was added")
+		case known && t.Leaving && !previous.Leaving:
+			p.log.WithFields(fields).Info("target is draining")
 		}
 	}
 }
 
-// states returns the states of a roster's targets, those of the same start carried over.
-func states(t table, roster *site.Roster) map[string]*state {
-	next := make(map[string]*state, roster.Len())
+// states returns the states of a roster's targets. A target that was not restarted keeps its previous state.
+func states(previous targetTable, roster *site.Roster) map[string]*targetState {
+	next := make(map[string]*targetState, roster.Len())
 	for _, target := range roster.All() {
-		old, ok := t.states[target.Name]
+		old, ok := previous.states[target.Name]
 		if ok && target.Follows(old.target) {
 			next[target.Name] = old
 			continue
 		}
-		fresh := &state{target: target}
-		fresh.belief.Store(&health.Belief{})
-		fresh.others.Store(&wire.TargetLoad{})
+		fresh := &targetState{target: target}
+		fresh.healthStatus.Store(&health.Belief{})
+		fresh.remoteLoad.Store(&wire.TargetLoad{})
 		next[target.Name] = fresh
 	}
 	return next
 }
 
-// suspects counts the targets that are avoided.
-func (p *Picker) suspects() float64 {
+// suspectCount returns the number of suspect targets.
+func (p *Picker) suspectCount() float64 {
 	now := time.Now()
 	count := 0
-	for _, s := range p.table.Load().states {
-		if s.belief.Load().Suspect(now) {
+	for _, s := range p.targetTable.Load().states {
+		if s.healthStatus.Load().Suspect(now) {
 			count++
 		}
 	}
 	return float64(count)
 }
 
-// update replaces a belief by what change makes of it.
-func (s *state) update(change func(health.Belief) health.Belief) {
-	cell.Swap(&s.belief, func(b health.Belief) (health.Belief, bool) { return change(b), true })
+// updateHealth replaces the health of a target by the result of change, which may run more than once.
+func (s *targetState) updateHealth(change func(health.Belief) health.Belief) {
+	cell.Swap(&s.healthStatus, func(b health.Belief) (health.Belief, bool) { return change(b), true })
 }
--- a/entry/picker/picker_test.go
+++ b/entry/picker/picker_test.go
@@ -18,24 +18,24 @@
 	"github.com/frankban/quicktest"
 )
 
-// fixed is a source that never changes.
-type fixed struct {
+// staticSource is a settled source whose targets never change.
+type staticSource struct {
 	targets []site.Target
 	changed chan struct{}
 }
 
 // Changed returns a channel that never closes.
-func (f fixed) Changed() <-chan struct{} { return f.changed }
+func (s staticSource) Changed() <-chan struct{} { return s.changed }
 
-// Settled tells that what is missing is gone.
-func (f fixed) Settled() bool { return true }
+// Settled reports that missing targets are gone.
+func (s staticSource) Settled() bool { return true }
 
-// Targets returns the targets.
-func (f fixed) Targets() []site.Target { return f.targets }
+// Targets returns the fixed targets.
+func (s staticSource) Targets() []site.Target { return s.targets }
 
-// newPicker returns a picker of three targets in two failure domains.
+// newPicker returns a picker over three targets in two failure domains.
 func newPicker(t *testing.T) *Picker {
-	source := fixed{changed: make(chan struct{}), targets: []site.Target{
+	source := staticSource{changed: make(chan struct{}), targets: []site.Target{
 		{Name: "a", Service: "s", Address: "1", Domain: "x", Revision: 1},
 		{Name: "b", Service: "s", Address: "2", Domain: "x", Revision: 2},
 		{Name: "c", Service: "s", Address: "3", Domain: "y", Revision: 3},
@@ -47,50 +47,50 @@
 	return p
 }
 
-// busy returns a statement of another instance that has streams at targets.
-func busy(sequence uint64, flying map[string]int) wire.Load {
-	l := wire.Load{Instance: "other", Sequence: sequence}
-	for name, n := range flying {
-		l.Targets = append(l.Targets, wire.TargetLoad{Target: name, Flying: n})
+// reportOfStreams returns a load report of another instance that has streams running on targets.
+func reportOfStreams(sequence uint64, streams map[string]int) wire.Load {
+	load := wire.Load{Instance: "other", Sequence: sequence}
+	for name, n := range streams {
+		load.Targets = append(load.Targets, wire.TargetLoad{Target: name, Flying: n})
 	}
-	return l
+	return load
 }
 
 func TestStreamChoice(t *testing.T) {
 	cases := map[string]struct {
 		prepare func(p *Picker)
 		avoid   map[string]bool
-		want    string // want is the chosen target, or empty when there is none.
+		want    string // want is the chosen target; empty if none may be chosen.
 	}{
-		"others-load": {func(p *Picker) { p.Merge([]wire.Load{busy(1, map[string]int{"a": 9, "b": 9})}) }, nil, "c"},
-		"old-statement-ignored": {func(p *Picker) {
-			p.Merge([]wire.Load{busy(2, map[string]int{"a": 9, "b": 9})})
-			p.Merge([]wire.Load{busy(1, map[string]int{"c": 9})})
+		"load-of-another-instance": {func(p *Picker) { p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"a": 9, "b": 9})}) }, nil, "c"},
+		"older-report-ignored": {func(p *Picker) {
+			p.Merge([]wire.Load{reportOfStreams(2, map[string]int{"a": 9, "b": 9})})
+			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"c": 9})})
 		}, nil, "c"},
-		"statement-forgotten": {func(p *Picker) {
-			p.Merge([]wire.Load{busy(1, map[string]int{"c": 90})})
-			time.Sleep(loadLife + time.Second)
+		"expired-report-ignored": {func(p *Picker) {
+			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"c": 90})})
+			time.Sleep(minReportTTL + time.Second)
 			p.Merge([]wire.Load{{Instance: "third", Sequence: 1, Targets: []wire.TargetLoad{{Target: "a", Flying: 9}, {Target: "b", Flying: 9}}}})
 		}, nil, "c"},
-		"large-fleet-forgets-later": {func(p *Picker) {
+		"reports-expire-later-in-large-fleet": {func(p *Picker) {
 			p.Expect(4 * time.Second)
-			p.Merge([]wire.Load{busy(1, map[string]int{"a": 90, "b": 90})})
-			time.Sleep(loadLife + time.Second)
+			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"a": 90, "b": 90})})
+			time.Sleep(minReportTTL + time.Second)
 			p.Merge([]wire.Load{{Instance: "third", Sequence: 1, Targets: []wire.TargetLoad{{Target: "c", Flying: 9}}}})
 		}, nil, "c"},
-		"place-of-the-session": {func(p *Picker) { p.Restore(map[string]string{"session": "b"}) }, nil, "b"},
-		"place-of-a-peer": {func(p *Picker) {
+		"previous-target-of-session": {func(p *Picker) { p.Restore(map[string]string{"session": "b"}) }, nil, "b"},
+		"previous-target-reported-by-peer": {func(p *Picker) {
 			p.Merge([]wire.Load{{Instance: "other", Sequence: 1, Runs: []wire.RunPlace{{Session: "session", Target: "a"}}}})
 		}, nil, "a"},
-		"place-is-overloaded": {func(p *Picker) {
+		"previous-target-is-overloaded": {func(p *Picker) {
 			p.Restore(map[string]string{"session": "b"})
-			p.Merge([]wire.Load{busy(1, map[string]int{"a": 9, "b": 30})})
+			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"a": 9, "b": 30})})
 		}, nil, "c"},
-		"avoided":               {func(p *Picker) { p.Restore(map[string]string{"session": "b"}) }, map[string]bool{"a": true, "b": true}, "c"},
-		"all-avoided":           {func(*Picker) {}, map[string]bool{"a": true, "b": true, "c": true}, ""},
-		"suspect":               {func(p *Picker) { lose(p, "a"); lose(p, "b") }, nil, "c"},
-		"suspects-as-last-hope": {func(p *Picker) { lose(p, "a"); lose(p, "b"); lose(p, "c") }, map[string]bool{"a": true, "b": true}, "c"},
-		"ended-is-no-hope":      {func(p *Picker) { end(p, "a"); end(p, "b"); end(p, "c") }, nil, ""},
+		"avoided":                        {func(p *Picker) { p.Restore(map[string]string{"session": "b"}) }, map[string]bool{"a": true, "b": true}, "c"},
+		"all-avoided":                    {func(*Picker) {}, map[string]bool{"a": true, "b": true, "c": true}, ""},
+		"suspects-are-skipped":           {func(p *Picker) { loseTarget(p, "a"); loseTarget(p, "b") }, nil, "c"},
+		"only-a-suspect-is-left":         {func(p *Picker) { loseTarget(p, "a"); loseTarget(p, "b"); loseTarget(p, "c") }, map[string]bool{"a": true, "b": true}, "c"},
+		"ended-targets-are-never-chosen": {func(p *Picker) { endTarget(p, "a"); endTarget(p, "b"); endTarget(p, "c") }, nil, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -98,33 +98,33 @@
 				time.Sleep(time.Millisecond)
 				p := newPicker(t)
 				test.prepare(p)
-				k, ok := p.Stream(Want{Service: "s", Session: "session", Prompt: 8000, Avoid: test.avoid})
+				pick, ok := p.Stream(Want{Service: "s", Session: "session", Prompt: 8000, Avoid: test.avoid})
 				quicktest.Assert(t, ok, quicktest.Equals, test.want != "")
 				if ok {
-					quicktest.Assert(t, k.Target.Name, quicktest.Equals, test.want)
+					quicktest.Assert(t, pick.Target.Name, quicktest.Equals, test.want)
 				}
 			})
 		})
 	}
 }
 
-// lose makes a target suspect.
-func lose(p *Picker, name string) {
-	k, _ := p.Sound(p.target(name), Want{})
-	k.Lost("test")
-	k.Release()
+// loseTarget makes a target suspect.
+func loseTarget(p *Picker, name string) {
+	pick, _ := p.Sound(p.target(name), Want{})
+	pick.Lost("test")
+	pick.Release()
 }
 
-// end ends a target.
-func end(p *Picker, name string) {
-	k, _ := p.Sound(p.target(name), Want{})
-	k.Gone()
-	k.Release()
+// endTarget records that another target answers at a target's address.
+func endTarget(p *Picker, name string) {
+	pick, _ := p.Sound(p.target(name), Want{})
+	pick.Gone()
+	pick.Release()
 }
 
-// target returns a target by name.
+// target returns a target of the roster.
 func (p *Picker) target(name string) site.Target {
-	target, _ := p.table.Load().roster.Get(name)
+	target, _ := p.targetTable.Load().roster.Get(name)
 	return target
 }
 
@@ -134,9 +134,9 @@
 		avoid  map[string]bool
 		want   string
 	}{
-		"other-domain":      {"x", map[string]bool{"a": true}, "c"},
-		"same-domain-if-so": {"x", map[string]bool{"a": true, "c": true}, "b"},
-		"none":              {"x", map[string]bool{"a": true, "b": true, "c": true}, ""},
+		"other-domain":            {"x", map[string]bool{"a": true}, "c"},
+		"same-domain-if-no-other": {"x", map[string]bool{"a": true, "c": true}, "b"},
+		"none":                    {"x", map[string]bool{"a": true, "b": true, "c": true}, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -144,7 +144,7 @@
 				time.Sleep(time.Millisecond)
 				p := newPicker(t)
 				if test.domain == "full" {
-					p.Merge([]wire.Load{busy(1, map[string]int{"c": 8})})
+					p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"c": 8})})
 				}
 				target, ok := p.Backup(Want{Service: "s", Session: "session", Prompt: 8000, Memory: 88000, Avoid: test.avoid}, test.domain)
 				quicktest.Assert(t, ok, quicktest.Equals, test.want != "")
@@ -154,16 +154,16 @@
 	}
 }
 
-// TestPlacesAreForgotten checks that a place outlives its run for a while and no longer.
+// TestPlacesAreForgotten checks that a session's target is remembered for placementTTL after its last stream ended.
 func TestPlacesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Millisecond)
 		p := newPicker(t)
-		k, _ := p.Stream(Want{Service: "s", Session: "session"})
+		pick, _ := p.Stream(Want{Service: "s", Session: "session"})
 		time.Sleep(time.Hour)
 		quicktest.Assert(t, p.Own().Runs, quicktest.HasLen, 1)
-		k.Release()
-		time.Sleep(placeLife - time.Second)
+		pick.Release()
+		time.Sleep(placementTTL - time.Second)
 		quicktest.Assert(t, p.Own().Runs, quicktest.HasLen, 1)
 		time.Sleep(2 * time.Second)
 		quicktest.Assert(t, p.Own().Runs, quicktest.HasLen, 0)
@@ -171,36 +171,38 @@
 	})
 }
 
-// TestDomainLoss checks that a peer's loss counts as evidence from the time of the loss on.
+// TestDomainLoss checks that a target loss reported by a peer counts from the time at which the peer observed it, not
+// from the receipt of the report.
 func TestDomainLoss(t *testing.T) {
 	cases := map[string]struct {
 		age  time.Duration
 		want bool
 	}{
-		"after-the-begin":  {100 * time.Millisecond, true},
-		"before-the-begin": {2 * time.Second, false},
+		"lost-after-the-start":  {100 * time.Millisecond, true},
+		"lost-before-the-start": {2 * time.Second, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Millisecond)
 				p := newPicker(t)
-				k, _ := p.Stream(Want{Service: "s", Avoid: map[string]bool{"c": true}})
-				began := time.Now()
+				pick, _ := p.Stream(Want{Service: "s", Avoid: map[string]bool{"c": true}})
+				start := time.Now()
 				time.Sleep(time.Second)
 				p.Merge([]wire.Load{{Instance: "other", Sequence: 1, Lost: []wire.DomainLoss{{Domain: "x", Age: test.age}}}})
-				quicktest.Assert(t, k.DomainLostSince(began), quicktest.Equals, test.want)
+				quicktest.Assert(t, pick.DomainLostSince(start), quicktest.Equals, test.want)
 				quicktest.Assert(t, p.Own().Lost, quicktest.HasLen, 1)
 			})
 		})
 	}
 }
 
-// TestChangesAreLoggedOnce checks that an entry whose address another target has taken is not logged as new again and again.
+// TestChangesAreLoggedOnce checks that a listed target whose address a newer target has taken is not logged as added at
+// each change of the list.
 func TestChangesAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		source := &moving{fixed: fixed{changed: make(chan struct{})}}
+		source := &mutableSource{staticSource: staticSource{changed: make(chan struct{})}}
 		handler := memory.New()
 		p := New(source, func(string) {}, &log.Logger{Handler: handler, Level: log.InfoLevel}, metrics.NewSet())
 		defer p.Close()
@@ -209,13 +211,13 @@
 		other := site.Target{Name: "c", Service: "s", Address: "3", Revision: 3}
 		for _, targets := range [][]site.Target{{a}, {a, b}, {a, b, other}, {a, b, other}, {b, other}} {
 			synctest.Wait()
-			source.set(targets)
+			source.setTargets(targets)
 		}
 		synctest.Wait()
 		var names []string
-		for _, e := range handler.Entries {
-			if e.Message == "target is new" {
-				names = append(names, e.Fields.Get("target").(string))
+		for _, entry := range handler.Entries {
+			if entry.Message == "target was added" {
+				names = append(names, entry.Fields.Get("target").(string))
 			}
 		}
 		slices.Sort(names)
@@ -223,28 +225,28 @@
 	})
 }
 
-// moving is a source whose targets a test sets.
-type moving struct {
-	fixed
+// mutableSource is a settled source whose targets a test sets.
+type mutableSource struct {
+	staticSource
 	mu sync.Mutex
 }
 
-// Changed returns a channel that closes at the next change.
-func (m *moving) Changed() <-chan struct{} {
+// Changed returns a channel that closes at the next call of setTargets.
+func (m *mutableSource) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Targets returns the targets.
-func (m *moving) Targets() []site.Target {
+// Targets returns the targets that were set last.
+func (m *mutableSource) Targets() []site.Target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.targets
 }
 
-// set changes the targets.
-func (m *moving) set(targets []site.Target) {
+// setTargets replaces the targets and announces the change.
+func (m *mutableSource) setTargets(targets []site.Target) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.targets = targets
@@ -252,9 +254,10 @@
 	m.changed = make(chan struct{})
 }
 
-// TestOrder checks that the first places of a session's order are those of the rendezvous ranking, and that all others count the same.
+// TestOrder checks that the first ranks of a session's order are those of the complete rendezvous ranking, and that all
+// later ones cost the same.
 func TestOrder(t *testing.T) {
-	cases := map[string]int{"none": 0, "one": 1, "three": 3, "as-many-as-places": sessionWidth, "many": 200}
+	cases := map[string]int{"none": 0, "one": 1, "three": 3, "as-many-as-ranks": rankedTargets, "many": 200}
 	for name, size := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -266,12 +269,12 @@
 			}
 			for n := range 50 {
 				session := fmt.Sprint("session-", n)
-				o := newOrder(session, targets)
-				best := choice{}
+				order := newSessionOrder(session, targets)
+				best := candidate{}
 				for i, target := range targets {
-					want := min(slices.Index(route.Rank(session, names), target.Name), sessionWidth)
-					c.Assert(o.cost(i), quicktest.Equals, rankCost*float64(want))
-					best = best.better(target, 1, o.scores[i])
+					rank := min(slices.Index(route.Rank(session, names), target.Name), rankedTargets)
+					c.Assert(order.rankCost(i), quicktest.Equals, costPerRank*float64(rank))
+					best = best.orCheaper(target, 1, order.scores[i])
 				}
 				if size > 0 {
 					c.Assert(best.target.Name, quicktest.Equals, route.Rank(session, names)[0])
@@ -281,32 +284,33 @@
 	}
 }
 
-// TestEndedIsNotAdopted checks that a target which was listed and is not any more is not used as a successor, whoever finds it.
+// TestEndedIsNotAdopted checks that a target that was listed before and is not any more is not used as a successor,
+// whether it was found here or by a peer. An ended target still answers for a while.
 func TestEndedIsNotAdopted(t *testing.T) {
 	a := site.Target{Name: "a", Service: "s", Address: "1", Started: 7, Revision: 1}
 	b := site.Target{Name: "b", Service: "s", Address: "1", Started: 8, Revision: 2}
 	cases := map[string]struct {
-		listed []site.Target // listed holds what is listed in between.
-		find   func(p *Picker)
-		want   string
+		listedBetween []site.Target // listedBetween is the list before the last one; nil for none.
+		find          func(p *Picker)
+		want          string
 	}{
-		"never-listed":            {nil, func(p *Picker) { p.Adopt(a, "b") }, "b"},
-		"never-listed-by-a-peer":  {nil, func(p *Picker) { p.Merge([]wire.Load{found("b", a)}) }, "b"},
-		"listed-before":           {[]site.Target{a, b}, func(p *Picker) { p.Adopt(a, "b") }, "a"},
-		"listed-before-by-a-peer": {[]site.Target{a, b}, func(p *Picker) { p.Merge([]wire.Load{found("b", a)}) }, "a"},
+		"never-listed":                {nil, func(p *Picker) { p.Adopt(a, "b") }, "b"},
+		"never-listed-found-by-peer":  {nil, func(p *Picker) { p.Merge([]wire.Load{reportOfSuccessor("b", a)}) }, "b"},
+		"listed-before":               {[]site.Target{a, b}, func(p *Picker) { p.Adopt(a, "b") }, "a"},
+		"listed-before-found-by-peer": {[]site.Target{a, b}, func(p *Picker) { p.Merge([]wire.Load{reportOfSuccessor("b", a)}) }, "a"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
-				source := &moving{fixed: fixed{changed: make(chan struct{})}}
+				source := &mutableSource{staticSource: staticSource{changed: make(chan struct{})}}
 				p := New(source, func(string) {}, &log.Logger{Handler: discard.New()}, metrics.NewSet())
 				defer p.Close()
 				p.Name("self", 1)
-				for _, targets := range [][]site.Target{{a}, test.listed, {a}} {
+				for _, targets := range [][]site.Target{{a}, test.listedBetween, {a}} {
 					if targets != nil {
 						synctest.Wait()
-						source.set(targets)
+						source.setTargets(targets)
 					}
 				}
 				synctest.Wait()
@@ -320,25 +324,25 @@
 	}
 }
 
-// TestListedIsNotTold checks that peers are told of successors only until the platform lists them.
+// TestListedIsNotTold checks that successors are reported to peers only until the platform lists them.
 func TestListedIsNotTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		a := site.Target{Name: "a", Service: "s", Address: "1", Started: 7, Revision: 1}
 		b := site.Target{Name: "b", Service: "s", Address: "1", Started: 8, Revision: 2}
-		source := &moving{fixed: fixed{changed: make(chan struct{}), targets: []site.Target{a}}}
+		source := &mutableSource{staticSource: staticSource{changed: make(chan struct{}), targets: []site.Target{a}}}
 		p := New(source, func(string) {}, &log.Logger{Handler: discard.New()}, metrics.NewSet())
 		defer p.Close()
 		synctest.Wait()
 		p.Adopt(a, "b")
 		c.Assert(p.Own().Successors, quicktest.HasLen, 1)
-		source.set([]site.Target{a, b})
+		source.setTargets([]site.Target{a, b})
 		synctest.Wait()
 		c.Assert(p.Own().Successors, quicktest.HasLen, 0)
 	})
 }
 
-// found returns the statement of an instance that found a target in another one's place.
-func found(name string, of site.Target) wire.Load {
-	return wire.Load{Instance: "finder", Sequence: 1, Successors: []wire.Successor{{Name: name, Of: of.Name, Started: of.Started, Address: of.Address}}}
+// reportOfSuccessor returns a load report of an instance that found a target at the address of its predecessor.
+func reportOfSuccessor(name string, predecessor site.Target) wire.Load {
+	return wire.Load{Instance: "finder", Sequence: 1, Successors: []wire.Successor{{Name: name, Of: predecessor.Name, Started: predecessor.Started, Address: predecessor.Address}}}
 }
--- a/entry/picker/places.go
+++ b/entry/picker/places.go
@@ -6,94 +6,96 @@
 	"bramleywharf.example/core/wire"
 )
 
-// placeLife is how long after a run's end its target is remembered: prompts stay in the cache of an engine for some seconds, and a caller that was cut comes back within them.
-const placeLife = 8 * time.Second
+// placementTTL is how long a session's target is remembered after its last stream ended. Engines keep a prompt in their
+// cache for some seconds, and a caller whose stream was cut reconnects within that time.
+const placementTTL = 8 * time.Second
 
-// place is where the prompt of a session was read last.
-type place struct {
-	target string
-	runs   int       // runs counts the session's streams that run there.
-	until  time.Time // until is when the place is forgotten once nothing runs there.
+// placement is the target that last read the prompt of a session.
+type placement struct {
+	target    string
+	runs      int       // runs counts the session's streams that run on the target.
+	expiresAt time.Time // expiresAt counts only while no stream runs.
 }
 
-// Places returns where the sessions of all instances run, as far as it is known here.
+// Places returns the targets of the sessions of all instances by session; this instance's own placements override
+// reported ones.
 func (p *Picker) Places() map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	places := make(map[string]string)
-	for _, s := range p.heard {
-		for _, r := range s.load.Runs {
-			places[r.Session] = r.Target
+	placements := make(map[string]string)
+	for _, report := range p.received {
+		for _, run := range report.load.Runs {
+			placements[run.Session] = run.Target
 		}
 	}
-	for session, at := range p.places {
-		places[session] = at.target
+	for session, own := range p.placements {
+		placements[session] = own.target
 	}
-	return places
+	return placements
 }
 
-// Restore takes the places that were known before this start.
-func (p *Picker) Restore(places map[string]string) {
+// Restore adds the placements that were stored before this start, unless the session already has one.
+func (p *Picker) Restore(placements map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	until := time.Now().Add(placeLife)
-	for session, target := range places {
-		if _, known := p.places[session]; !known {
-			p.places[session] = place{target: target, until: until}
+	expiresAt := time.Now().Add(placementTTL)
+	for session, target := range placements {
+		if _, known := p.placements[session]; !known {
+			p.placements[session] = placement{target: target, expiresAt: expiresAt}
 		}
 	}
 }
 
-// enter notes that a stream of a session runs at a target.
-func (p *Picker) enter(session, target string) {
+// addStream records that a stream of a session runs on a target.
+func (p *Picker) addStream(session, target string) {
 	if session == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.places[session]
-	if at.target != target {
-		at = place{target: target}
+	current := p.placements[session]
+	if current.target != target {
+		current = placement{target: target}
 	}
-	at.runs++
-	p.places[session] = at
+	current.runs++
+	p.placements[session] = current
 }
 
-// exit notes that a stream of a session has ended at a target.
-func (p *Picker) exit(session, target string) {
+// removeStream records that a stream of a session has ended on a target.
+func (p *Picker) removeStream(session, target string) {
 	if session == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, ok := p.places[session]
-	if !ok || at.target != target {
+	current, ok := p.placements[session]
+	if !ok || current.target != target {
 		return
 	}
-	at.runs--
-	at.until = time.Now().Add(placeLife)
-	p.places[session] = at
+	current.runs--
+	current.expiresAt = time.Now().Add(placementTTL)
+	p.placements[session] = current
 }
 
-// ownRuns returns the places of this instance, and forgets those that are too old; the caller holds the lock.
-func (p *Picker) ownRuns(now time.Time) []wire.RunPlace {
-	runs := make([]wire.RunPlace, 0, len(p.places))
-	for session, at := range p.places {
-		if at.runs <= 0 && now.After(at.until) {
-			delete(p.places, session)
+// ownPlacements returns the placements of this instance and drops those that have expired; the caller holds mu.
+func (p *Picker) ownPlacements(now time.Time) []wire.RunPlace {
+	runs := make([]wire.RunPlace, 0, len(p.placements))
+	for session, current := range p.placements {
+		if current.runs <= 0 && now.After(current.expiresAt) {
+			delete(p.placements, session)
 			continue
 		}
-		runs = append(runs, wire.RunPlace{Session: session, Target: at.target})
+		runs = append(runs, wire.RunPlace{Session: session, Target: current.target})
 	}
 	return runs
 }
 
-// placeOf returns the target that has read the prompt of a session, or an empty name.
-func (p *Picker) placeOf(session string) string {
+// lastTarget returns the name of the target that has read the prompt of a session, or an empty string.
+func (p *Picker) lastTarget(session string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at, ok := p.places[session]; ok {
-		return at.target
+	if current, ok := p.placements[session]; ok {
+		return current.target
 	}
-	return p.elsewhere[session]
+	return p.remotePlacements[session]
 }
--- a/entry/picker/successor.go
+++ b/entry/picker/successor.go
@@ -8,53 +8,56 @@
 	"github.com/apex/log"
 )
 
-// Adopt takes a target that has the address of another one, and is of its service, into that one's place until the platform lists it.
-func (p *Picker) Adopt(of site.Target, name string) {
-	p.follow(site.Successor{Of: of, Name: name, Found: time.Now()}, "found here")
+// Adopt replaces a target by a successor, which answers at its address and belongs to the same service, until the
+// platform lists the successor.
+func (p *Picker) Adopt(predecessor site.Target, successorName string) {
+	p.addSuccessor(site.Successor{Of: predecessor, Name: successorName, Found: time.Now()}, "found here")
 	p.reconcile()
 }
 
-// endedLife is how long a target that has ended is remembered: longer than an older entry with its address lasts, three heartbeats, also over an outage of some seconds.
-const endedLife = time.Minute
+// endedTTL is how long the name of an ended target is remembered. It is longer than an older entry with the same
+// address can stay listed, which is three heartbeats, even with an outage of some seconds.
+const endedTTL = time.Minute
 
-// end remembers a target that was used and is not listed any more.
-func (p *Picker) end(name string, now time.Time) {
+// markEnded records that a target is no longer listed, and forgets the targets whose record has expired.
+func (p *Picker) markEnded(name string, now time.Time) {
 	p.ended.Store(name, now)
-	p.ended.Range(func(name, at any) bool {
-		if now.Sub(at.(time.Time)) > endedLife {
+	p.ended.Range(func(name, endedAt any) bool {
+		if now.Sub(endedAt.(time.Time)) > endedTTL {
 			p.ended.Delete(name)
 		}
 		return true
 	})
 }
 
-// follow adds a successor and tells whether it is news. One that was listed before and has ended still answers for a while, but must get no work.
-func (p *Picker) follow(successor site.Successor, cause string) bool {
+// addSuccessor adds a successor and returns whether it was not known before. One that was listed and has ended is not
+// added: it still answers for a while but must get no work.
+func (p *Picker) addSuccessor(successor site.Successor, cause string) bool {
 	if _, ended := p.ended.Load(successor.Name); ended {
 		return false
 	}
-	news := false
+	isNew := false
 	p.successors.Update(func(s site.Successors) site.Successors {
-		s, news = s.WithSuccessor(successor)
+		s, isNew = s.WithSuccessor(successor)
 		return s
 	})
-	if news {
-		p.log.WithFields(log.Fields{"target": successor.Name, "address": successor.Of.Address, "old-target": successor.Of.Name, "cause": cause}).Info("target is used before it is listed")
+	if isNew {
+		p.log.WithFields(log.Fields{"target": successor.Name, "address": successor.Of.Address, "old-target": successor.Of.Name, "cause": cause}).Info("target is used before the platform lists it")
 	}
-	return news
+	return isNew
 }
 
-// inherit takes the successors that other instances found, as far as the targets that they follow are known here.
-func (p *Picker) inherit(successors []wire.Successor, now time.Time) {
-	news := false
-	for _, h := range successors {
-		of, ok := p.table.Load().roster.Get(h.Of)
-		if !ok || of.Address != h.Address || of.Started != h.Started {
+// mergeSuccessors adds the successors that other instances reported if the targets that they replace are known here.
+func (p *Picker) mergeSuccessors(successors []wire.Successor, now time.Time) {
+	anyNew := false
+	for _, successor := range successors {
+		predecessor, ok := p.targetTable.Load().roster.Get(successor.Of)
+		if !ok || predecessor.Address != successor.Address || predecessor.Started != successor.Started {
 			continue
 		}
-		news = p.follow(site.Successor{Of: of, Name: h.Name, Found: now.Add(-h.Age)}, "found by a peer") || news
+		anyNew = p.addSuccessor(site.Successor{Of: predecessor, Name: successor.Name, Found: now.Add(-successor.Age)}, "found by a peer") || anyNew
 	}
-	if news {
+	if anyNew {
 		p.reconcile()
 	}
 }
