--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -188,7 +188,7 @@
 	return float64(count)
 }
 
-// updateHealth replaces the health of a target by the result of change, which may run more than once.
+// updateHealth replaces the health of a target by the result of change, which may be called more than once.
 func (s *targetState) updateHealth(change func(health.Belief) health.Belief) {
 	cell.Swap(&s.healthStatus, func(b health.Belief) (health.Belief, bool) { return change(b), true })
 }
--- a/entry/send/doc.go
+++ b/entry/send/doc.go
@@ -1,3 +1,3 @@
-// Package send holds what every send to a target needs: its message, what
-// responses say, the bound on repeats, and the metrics.
+// Package send holds what every request to a target needs: the message to the
+// target, the reading of its responses, the limit on retries, and the metrics.
 package send
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -19,97 +19,101 @@
 )
 
 const (
-	idleShare      = 0.5                   // idleShare is the part of a target's connections that idle ones may take; the rest is for those in use and for instances that have more than their share.
-	deadlineMargin = 20 * time.Millisecond // deadlineMargin is kept back from a caller's deadline for the way of the answer.
+	// idleConnShare is the part of a target's connections that may be idle. The rest is left for connections in use and
+	// for instances that need more than their share.
+	idleConnShare = 0.5
+
+	// deadlineMargin is subtracted from a caller's deadline to leave time for the answer to reach the caller.
+	deadlineMargin = 20 * time.Millisecond
 )
 
-// Send describes one request to a target, for its encoding.
+// Send describes one request to a target, to be encoded by the dialect.
 type Send struct {
 	Call   chain.Call
 	Target site.Target
 	Left   time.Duration // Left is the time that the target may take.
-	After  string        // After is the id of the event to go on after, or empty.
-	Source Source        // Source is the copy to go on from, or the zero value.
-	Backup string        // Backup is the address of the target that should keep a copy of the run, or empty.
+	After  string        // After is the id of the event after which to resume, or empty.
+	Source Source        // Source is the replica to resume from, or the zero value.
+	Backup string        // Backup is the address of the target that should keep a replica of the run, or empty.
 }
 
-// Source names a copy of a run.
+// Source identifies a replica of a run's prompt memory.
 type Source struct {
-	Address string // Address is that of the target which keeps the copy, or which made it on order.
-	Handle  string // Handle names the copy there.
+	Address string // Address is that of the target that keeps the replica, or that made it on order.
+	Handle  string // Handle identifies the replica at that target.
 }
 
-// Progress is what a target says of one request, as of some hundred milliseconds before.
+// Progress is what a target reports about one request; it is some hundred milliseconds old.
 type Progress struct {
-	Listed  bool // Listed tells that the target names the request among those that produce events.
-	Events  int  // Events counts the events made so far; a request whose prompt is being read has none.
-	Unnamed int  // Unnamed counts the requests that wait there or whose prompt is being read.
+	Listed  bool // Listed tells that the target lists the request, as it does once the prompt is read.
+	Events  int  // Events counts the events produced so far, 0 while the prompt is being read.
+	Unnamed int  // Unnamed counts the requests that the target does not list: they wait or their prompt is being read.
 }
 
-// Verdict is the sealed set of what a response says of itself: Signed, NotRun and Unsigned.
+// Verdict is the sealed set of what a response proves about the request: Signed, NotRun and Unsigned.
 type Verdict interface {
 	isVerdict()
 }
 
-// Signed responses were made by the target that ran the request.
+// Signed is the verdict on a response that comes from the target that ran the request.
 type Signed struct{}
 
-// NotRun responses promise that the request has not run and never will.
+// NotRun is the verdict on a response that guarantees that the request has not run and never will.
 type NotRun struct {
-	Misdirected bool   // Misdirected tells that another target has the address.
-	Holder      string // Holder names that target, or is empty.
+	Misdirected bool   // Misdirected tells that another target answers at the address.
+	Holder      string // Holder is the name of that target, or empty.
 }
 
-// Unsigned responses prove nothing.
+// Unsigned is the verdict on a response that proves nothing; the request may have run.
 type Unsigned struct{}
 
 func (Signed) isVerdict()   {}
 func (NotRun) isVerdict()   {}
 func (Unsigned) isVerdict() {}
 
-// Dialect encodes requests for targets and reads what their responses say.
+// Dialect encodes requests to targets and decodes their responses.
 type Dialect interface {
 	// Header returns the headers of a request to a target.
 	Header(s Send) map[string][]string
-	// Copy returns the call that orders the target of a run to copy it to another target.
+	// Copy returns the request that orders a runner, the target of a run, to replicate it to a holder.
 	Copy(c chain.Call, runner, holder site.Target) link.Request
-	// Copied returns the handle of a copy from the response to such a call.
+	// Copied returns the handle of the replica from the response to a Copy request.
 	Copied(status int, body []byte) (handle string, ok bool)
-	// Ask returns the call that asks a target what it runs.
+	// Ask returns the request for a target's report of what it runs.
 	Ask(target site.Target) link.Request
-	// Progress returns how far a request has come at a target, by the response to that call.
+	// Progress returns the progress of a request from the response to an Ask request.
 	Progress(id string, body []byte) (Progress, error)
-	// IsEngine tells by the response to that call whether a model engine made it.
+	// IsEngine reports whether the response to an Ask request comes from a model engine.
 	IsEngine(status int, body []byte) bool
-	// Drop returns the call that frees such a copy.
+	// Drop returns the request that frees a replica.
 	Drop(s Source) link.Request
-	// Judge returns what a response says of itself.
+	// Judge returns what a response proves about the request.
 	Judge(status int, header map[string][]string) Verdict
-	// Response returns the headers that belong to the caller.
+	// Response returns the response headers that are passed on to the caller.
 	Response(header map[string][]string) chain.Header
 }
 
 // Settings configures a sender.
 type Settings struct {
-	Retries func() retry.Bound // Retries returns this instance's share of the fleet's bound.
-	Fleet   retry.Bound        // Fleet bounds the repeats of all instances together.
+	Retries func() retry.Bound // Retries returns this instance's share of the fleet's limit on retries.
+	Fleet   retry.Bound        // Fleet limits the retries of all instances together.
 	Size    func() int         // Size returns the number of instances, this one included.
 }
 
-// Sender holds what sends to targets need.
+// Sender holds what requests to targets share: the connections, the choice of targets, retry limits and metrics.
 type Sender struct {
-	Link     *link.Link
-	Picker   *picker.Picker
-	Dialect  Dialect
-	Log      log.Interface
-	Counts   Counts
-	settings Settings
-	began    time.Time
-	paces    sync.Map // paces holds an *atomic.Pointer[flow.Pace] for each service.
-	windows  sync.Map // windows holds an *atomic.Pointer[retry.Window] for each service.
+	Link         *link.Link
+	Picker       *picker.Picker
+	Dialect      Dialect
+	Log          log.Interface
+	Counts       Counts
+	settings     Settings
+	startedAt    time.Time
+	paces        sync.Map // paces maps each service to an *atomic.Pointer[flow.Pace].
+	retryWindows sync.Map // retryWindows maps each service to an *atomic.Pointer[retry.Window].
 }
 
-// Counts holds the metrics of forwarded calls.
+// Counts holds the metrics of forwarded requests.
 type Counts struct {
 	Sends    *metrics.Counter
 	Unsent   *metrics.Counter
@@ -125,15 +129,15 @@
 	Resume   *metrics.Histogram
 }
 
-// New returns a sender.
+// New returns a sender and makes the picker report its requests and retries to other instances.
 func New(s Settings, l *link.Link, p *picker.Picker, d Dialect, logger log.Interface, set *metrics.Set) *Sender {
 	sender := &Sender{
-		Link:     l,
-		Picker:   p,
-		Dialect:  d,
-		Log:      logger,
-		settings: s,
-		began:    time.Now(),
+		Link:      l,
+		Picker:    p,
+		Dialect:   d,
+		Log:       logger,
+		settings:  s,
+		startedAt: time.Now(),
 		Counts: Counts{
 			Sends:    set.GetOrCreateCounter("bramleywharf_sends_total"),
 			Unsent:   set.GetOrCreateCounter("bramleywharf_sends_failed_unsent_total"),
@@ -149,27 +153,28 @@
 			Resume:   set.GetOrCreateHistogram("bramleywharf_stream_resume_seconds"),
 		},
 	}
-	p.Report(sender.usage)
+	p.Report(sender.recentUsage)
 	return sender
 }
 
-// Request counts a request of a service.
+// Request counts a caller's request to a service, on which the number of allowed retries depends.
 func (s *Sender) Request(service string) {
-	cell.Swap(s.window(service), func(w retry.Window) (retry.Window, bool) {
-		return w.WithRequest(time.Since(s.began)), true
+	cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
+		return w.WithRequest(time.Since(s.startedAt)), true
 	})
 }
 
-// Repeat takes one repeat from the bound of a service, from the instance's share or from what the fleet leaves unused, or returns false.
+// Repeat counts one retry of a request to a service and returns true, or returns false when no retry is left in this
+// instance's share of the limit and in what the fleet leaves unused.
 func (s *Sender) Repeat(service string) bool {
-	ok := cell.Swap(s.window(service), func(w retry.Window) (retry.Window, bool) {
-		now := time.Since(s.began)
-		own := s.settings.Retries()
-		if next, ok := w.WithRepeat(now, own); ok {
+	ok := cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
+		now := time.Since(s.startedAt)
+		ownShare := s.settings.Retries()
+		if next, ok := w.WithRepeat(now, ownShare); ok {
 			return next, true
 		}
 		used := s.Picker.Used(service)
-		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Repeats: used.Repeats, Fleet: s.settings.Fleet, Own: own})
+		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Repeats: used.Repeats, Fleet: s.settings.Fleet, Own: ownShare})
 	})
 	if ok {
 		s.Counts.Repeats.Inc()
@@ -179,34 +184,35 @@
 	return ok
 }
 
-// usage tells what this instance sent to each service lately.
-func (s *Sender) usage() []wire.Usage {
-	var usage []wire.Usage
-	s.windows.Range(func(service, w any) bool {
-		requests, repeats := w.(*atomic.Pointer[retry.Window]).Load().Count(time.Since(s.began))
-		usage = append(usage, wire.Usage{Service: service.(string), Requests: requests, Repeats: repeats})
+// recentUsage returns the requests and retries that this instance recently sent to each service.
+func (s *Sender) recentUsage() []wire.Usage {
+	var recentUsage []wire.Usage
+	s.retryWindows.Range(func(service, w any) bool {
+		requests, repeats := w.(*atomic.Pointer[retry.Window]).Load().Count(time.Since(s.startedAt))
+		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Repeats: repeats})
 		return true
 	})
-	return usage
+	return recentUsage
 }
 
-// Pace returns the estimate of the pauses of a service's streams.
+// Pace returns the estimate of the pauses between events in a service's streams.
 func (s *Sender) Pace(service string) flow.Pace {
-	return *value[flow.Pace](&s.paces, service).Load()
+	return *pointerFor[flow.Pace](&s.paces, service).Load()
 }
 
-// Learn changes the estimate of the pauses of a service's streams.
+// Learn replaces the estimate of the pauses in a service's streams by the result of change, which may be called more
+// than once.
 func (s *Sender) Learn(service string, change func(flow.Pace) flow.Pace) {
-	cell.Swap(value[flow.Pace](&s.paces, service), func(p flow.Pace) (flow.Pace, bool) { return change(p), true })
+	cell.Swap(pointerFor[flow.Pace](&s.paces, service), func(p flow.Pace) (flow.Pace, bool) { return change(p), true })
 }
 
-// window returns the window of a service.
-func (s *Sender) window(service string) *atomic.Pointer[retry.Window] {
-	return value[retry.Window](&s.windows, service)
+// retryWindow returns the counts of recent requests and retries of a service.
+func (s *Sender) retryWindow(service string) *atomic.Pointer[retry.Window] {
+	return pointerFor[retry.Window](&s.retryWindows, service)
 }
 
-// value returns the value of a service, which begins as the zero value.
-func value[T any](values *sync.Map, service string) *atomic.Pointer[T] {
+// pointerFor returns the pointer to the value of a service, which is initially the zero value.
+func pointerFor[T any](values *sync.Map, service string) *atomic.Pointer[T] {
 	if v, ok := values.Load(service); ok {
 		return v.(*atomic.Pointer[T])
 	}
@@ -216,59 +222,62 @@
 	return v.(*atomic.Pointer[T])
 }
 
-// Limit returns when a call needs its final answer: at its route's timeout, and in time for its caller.
-func Limit(c chain.Call, f chain.Forward) time.Time {
-	at := f.Deadline.Add(-deadlineMargin)
-	if timeout, ok := Timeout(c, f); ok && timeout.Before(at) {
+// Limit returns the time by which a call needs its final answer: the route's timeout or, if it is earlier, the caller's
+// deadline less a margin.
+func Limit(call chain.Call, forward chain.Forward) time.Time {
+	limit := forward.Deadline.Add(-deadlineMargin)
+	if timeout, ok := Timeout(call, forward); ok && timeout.Before(limit) {
 		return timeout
 	}
-	return at
+	return limit
 }
 
-// Left returns how long a target may take.
-func Left(c chain.Call, f chain.Forward) time.Duration {
-	at := f.Deadline
-	if timeout, ok := Timeout(c, f); ok && timeout.Before(at) {
-		at = timeout
+// Left returns how long a target may take: until the route's timeout or the caller's deadline, whichever is earlier.
+func Left(call chain.Call, forward chain.Forward) time.Duration {
+	limit := forward.Deadline
+	if timeout, ok := Timeout(call, forward); ok && timeout.Before(limit) {
+		limit = timeout
 	}
-	return time.Until(at)
+	return time.Until(limit)
 }
 
-// Timeout returns when the timeout of a call's route passes, if it has one. A stream that has begun keeps nobody waiting, so it bounds the wait for the first event alone.
-func Timeout(c chain.Call, f chain.Forward) (time.Time, bool) {
-	return f.Received.Add(c.Route.Timeout), c.Route.Timeout > 0
+// Timeout returns when the timeout of a call's route passes, and whether the route has one. For a stream it limits only
+// the wait for the first event, since a caller that receives events is not kept waiting.
+func Timeout(call chain.Call, forward chain.Forward) (time.Time, bool) {
+	return forward.Received.Add(call.Route.Timeout), call.Route.Timeout > 0
 }
 
-// Outgoing returns the message of one send.
-func (s *Sender) Outgoing(m Send, f chain.Forward, fresh bool) link.Request {
+// Outgoing returns the encoded request to a target; fresh asks for a connection that was not used before.
+func (s *Sender) Outgoing(message Send, forward chain.Forward, fresh bool) link.Request {
 	return link.Request{
-		Address: m.Target.Address,
-		Host:    f.Host,
-		Method:  f.Method,
-		Path:    f.Path,
-		Header:  s.Dialect.Header(m),
-		Body:    f.Body,
-		Echo:    m.Call.ID,
+		Address: message.Target.Address,
+		Host:    forward.Host,
+		Method:  forward.Method,
+		Path:    forward.Path,
+		Header:  s.Dialect.Header(message),
+		Body:    forward.Body,
+		Echo:    message.Call.ID,
 		Fresh:   fresh,
-		Idle:    s.idle(m),
+		Idle:    s.maxIdleConns(message),
 	}
 }
 
-// idle returns how many idle connections this instance may keep to a target, or 0 where the target has no bound.
-func (s *Sender) idle(m Send) int {
-	service, ok := m.Call.Site.Service(m.Target.Service)
+// maxIdleConns returns how many idle connections this instance may keep to a target: an equal part of the target's
+// limit for all instances, or 0 if there is no limit.
+func (s *Sender) maxIdleConns(message Send) int {
+	service, ok := message.Call.Site.Service(message.Target.Service)
 	if !ok || service.MaxConns == 0 {
 		return 0
 	}
-	return max(1, int(idleShare*float64(service.MaxConns))/max(1, s.settings.Size()))
+	return max(1, int(idleConnShare*float64(service.MaxConns))/max(1, s.settings.Size()))
 }
 
-// Unavailable refuses a call that was not run.
+// Unavailable refuses a call that was not run and may be sent again after a time.
 func Unavailable(after time.Duration, format string, args ...any) chain.Answer {
 	return chain.Refuse(deny.New(deny.KindUnavailable, format, args...).WithRetryAfter(after))
 }
 
-// Unknown refuses a call that may have run.
+// Unknown refuses a call that may or may not have run.
 func Unknown(kind deny.Kind, format string, args ...any) chain.Answer {
 	return chain.Refuse(deny.New(kind, format, args...).WithExecuted(deny.ExecutedUnknown))
 }
--- a/entry/send/send_test.go
+++ b/entry/send/send_test.go
@@ -16,22 +16,22 @@
 	"github.com/frankban/quicktest"
 )
 
-// empty is a source without targets.
-type empty struct{}
+// emptySource is a source without targets.
+type emptySource struct{}
 
-// Changed returns a channel that never closes.
-func (empty) Changed() <-chan struct{} { return nil }
+// Changed returns a nil channel, from which no receive returns.
+func (emptySource) Changed() <-chan struct{} { return nil }
 
-// Settled tells that what is missing is gone.
-func (empty) Settled() bool { return true }
+// Settled reports that missing targets are gone.
+func (emptySource) Settled() bool { return true }
 
-// Targets returns nothing.
-func (empty) Targets() []site.Target { return nil }
+// Targets returns no targets.
+func (emptySource) Targets() []site.Target { return nil }
 
-// newSender returns a sender without targets.
+// newSender returns a sender whose picker has no targets.
 func newSender(t *testing.T, s Settings) *Sender {
 	logger := &log.Logger{Handler: discard.New()}
-	p := picker.New(empty{}, func(string) {}, logger, metrics.NewSet())
+	p := picker.New(emptySource{}, func(string) {}, logger, metrics.NewSet())
 	t.Cleanup(p.Close)
 	p.Name("self", 1)
 	return New(s, link.New(link.Settings{}, metrics.NewSet()), p, nil, logger, metrics.NewSet())
@@ -39,23 +39,23 @@
 
 func TestIdle(t *testing.T) {
 	cases := map[string]struct {
-		bound int // bound is the most connections of a target, or 0.
-		size  int // size is the number of instances.
-		want  int
+		maxConns  int // maxConns is the target's connection limit, or 0.
+		instances int // instances is the number of instances that share the limit.
+		want      int
 	}{
-		"no-bound":             {bound: 0, size: 10, want: 0},
-		"one-instance":         {bound: 100, size: 1, want: 50},
-		"a-dozen-instances":    {bound: 100, size: 12, want: 4},
-		"many-instances":       {bound: 590, size: 89, want: 3},
-		"more-than-the-bound":  {bound: 20, size: 89, want: 1},
-		"no-instance-is-known": {bound: 100, size: 0, want: 50},
+		"no-limit":                        {maxConns: 0, instances: 10, want: 0},
+		"one-instance":                    {maxConns: 100, instances: 1, want: 50},
+		"a-dozen-instances":               {maxConns: 100, instances: 12, want: 4},
+		"many-instances":                  {maxConns: 590, instances: 89, want: 3},
+		"more-instances-than-connections": {maxConns: 20, instances: 89, want: 1},
+		"no-instance-known":               {maxConns: 100, instances: 0, want: 50},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := newSender(t, Settings{Size: func() int { return test.size }})
-			config := site.NewConfig("1", 1, site.Limits{}).WithServices([]site.Service{{Name: "s", MaxConns: test.bound}})
-			m := Send{Call: chain.Call{}.WithRoute(config, site.Route{}), Target: site.Target{Service: "s"}}
-			quicktest.Assert(t, s.idle(m), quicktest.Equals, test.want)
+			s := newSender(t, Settings{Size: func() int { return test.instances }})
+			config := site.NewConfig("1", 1, site.Limits{}).WithServices([]site.Service{{Name: "s", MaxConns: test.maxConns}})
+			message := Send{Call: chain.Call{}.WithRoute(config, site.Route{}), Target: site.Target{Service: "s"}}
+			quicktest.Assert(t, s.maxIdleConns(message), quicktest.Equals, test.want)
 		})
 	}
 }
@@ -65,13 +65,13 @@
 	fleet := retry.Bound{Ratio: 0.2, Slack: 20}
 	cases := map[string]struct {
 		requests int
-		others   []wire.Usage // others is what another instance sent.
+		others   []wire.Usage // others is what another instance reported to have sent.
 		tries    int
 		want     int
 	}{
-		"own-share-of-a-busy-fleet":  {requests: 10, others: []wire.Usage{{Service: "s", Requests: 100, Repeats: 40}}, tries: 50, want: 4},
-		"idle-fleet-lends":           {requests: 10, others: []wire.Usage{{Service: "s", Requests: 500, Repeats: 0}}, tries: 50, want: 20},
-		"another-service-is-no-help": {requests: 10, others: []wire.Usage{{Service: "other", Requests: 500}}, tries: 50, want: 11},
+		"busy-fleet-leaves-own-share":        {requests: 10, others: []wire.Usage{{Service: "s", Requests: 100, Repeats: 40}}, tries: 50, want: 4},
+		"idle-fleet-leaves-its-unused-share": {requests: 10, others: []wire.Usage{{Service: "s", Requests: 500, Repeats: 0}}, tries: 50, want: 20},
+		"other-services-do-not-count":        {requests: 10, others: []wire.Usage{{Service: "other", Requests: 500}}, tries: 50, want: 11},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	now := time.Now()
 	cases := map[string]struct {
 		timeout, deadline time.Duration
-		limit, left       time.Duration // limit and left are counted from the arrival.
+		limit, left       time.Duration // limit and left are times since the request was received.
 	}{
 		"no-timeout":       {deadline: time.Second, limit: time.Second - deadlineMargin, left: time.Second},
 		"timeout-is-first": {timeout: 500 * time.Millisecond, deadline: time.Second, limit: 500 * time.Millisecond, left: 500 * time.Millisecond},
@@ -106,9 +106,9 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			call := chain.Call{Route: site.Route{Timeout: test.timeout}}
-			f := chain.Forward{Received: now, Deadline: now.Add(test.deadline)}
-			quicktest.Assert(t, Limit(call, f).Sub(now), quicktest.Equals, test.limit)
-			left := Left(call, f)
+			forward := chain.Forward{Received: now, Deadline: now.Add(test.deadline)}
+			quicktest.Assert(t, Limit(call, forward).Sub(now), quicktest.Equals, test.limit)
+			left := Left(call, forward)
 			quicktest.Assert(t, left <= test.left && left > test.left-100*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", left))
 		})
 	}
--- a/entry/send/successor.go
+++ b/entry/send/successor.go
@@ -9,25 +9,28 @@
 	"github.com/apex/log"
 )
 
-// askTimeout bounds the question to a target that has another one's address; its caller waits meanwhile.
-const askTimeout = 200 * time.Millisecond
+// queryTimeout bounds the request to a target that took over another one's address. It is short since the caller waits
+// meanwhile.
+const queryTimeout = 200 * time.Millisecond
 
-// Misdirected notes that a target was not at its address any more. The one that is there now takes its place if it is surely of the same service: an engine, where no other service has engines. While the platform's list cannot be had, targets that started again would be out of use otherwise.
-func (s *Sender) Misdirected(ctx context.Context, c chain.Call, pick *picker.Pick, holder string) {
-	if !pick.Gone() || holder == "" || c.Site == nil || !c.Site.IsOnlyEngine(pick.Target.Service) {
+// Misdirected records that the picked target no longer answers at its address. The target that answers there is used as
+// its successor if it certainly belongs to the same service: it is an engine, and no other service has engines. Without
+// this, restarted targets could not be used while the platform's list is unreachable.
+func (s *Sender) Misdirected(ctx context.Context, call chain.Call, pick *picker.Pick, successor string) {
+	if !pick.Gone() || successor == "" || call.Site == nil || !call.Site.IsOnlyEngine(pick.Target.Service) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	line := s.Log.WithFields(log.Fields{"request": c.ID, "target": holder, "address": pick.Target.Address})
+	logger := s.Log.WithFields(log.Fields{"request": call.ID, "target": successor, "address": pick.Target.Address})
 	reply, body, err := s.Link.Exchange(ctx, s.Dialect.Ask(pick.Target))
 	if err != nil {
-		line.WithError(err).Info("target at another one's address does not say what it is")
+		logger.WithError(err).Info("target that took over an address did not report what it runs; it is not used until it is listed")
 		return
 	}
 	if !s.Dialect.IsEngine(reply.Status(), body) {
-		line.Info("target at another one's address is no engine")
+		logger.Info("target that took over an address is not an engine; it is not used until it is listed")
 		return
 	}
-	s.Picker.Adopt(pick.Target, holder)
+	s.Picker.Adopt(pick.Target, successor)
 }
