--- a/entry/fleet/doc.go
+++ b/entry/fleet/doc.go
@@ -1,7 +1,8 @@
 // Package fleet is the controller of membership.
 //
-// Its wanted state is a view in which every live instance is alive and every
-// silent one is not. It probes a few stable neighbours in turn, spreads what
-// it learns with the heartbeats, and lets the platform's lagging list add
-// members but not remove them.
+// Its desired state is a view in which each live instance is alive and each
+// silent one is not. Like SWIM, it probes members in turn, directly and then
+// through others, suspects those that do not answer, and spreads updates with
+// the heartbeats. Each instance probes only a few neighbours, which are stable.
+// The platform's list lags behind, so it adds members but does not remove them.
 package fleet
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -17,228 +17,230 @@
 )
 
 const (
-	neighbourCount = 6                      // neighbourCount is the number of members that one instance probes in turn.
-	probePeriod    = 300 * time.Millisecond // probePeriod is the time between two probes.
-	probeTimeout   = 400 * time.Millisecond // probeTimeout bounds one probe.
-	helpers        = 2                      // helpers is the number of members asked to probe on one's behalf.
-	suspectLife    = 2 * time.Second        // suspectLife is the time that a suspect has to refute.
-	deadLife       = 10 * time.Minute       // deadLife is how long a dead member is remembered.
-	listPeriod     = 2 * time.Second        // listPeriod is the time between two reads of the platform's list, unless the settings name another.
-	revisitPeriod  = 2 * time.Second        // revisitPeriod is the time between two attempts to reach a dead member.
-	pushFanout     = 4                      // pushFanout is the number of members told at once of a new configuration.
+	neighbourCount      = 6                      // neighbourCount is the number of members that one instance probes.
+	probeInterval       = 300 * time.Millisecond // probeInterval is the time between two probes, of one neighbour each.
+	probeTimeout        = 400 * time.Millisecond // probeTimeout limits any exchange of heartbeats.
+	indirectProbes      = 2                      // indirectProbes is the number of members asked to probe a silent one.
+	suspectTimeout      = 2 * time.Second        // suspectTimeout is how long a suspect may refute before it is dead.
+	deadRetention       = 10 * time.Minute       // deadRetention is how long a dead member is remembered.
+	defaultListInterval = 2 * time.Second        // defaultListInterval is the time between two reads of the list.
+	reconnectInterval   = 2 * time.Second        // reconnectInterval is the time between two tries of dead members.
+	pushFanout          = 4                      // pushFanout is the number of members that get an update at once.
 )
 
-// Freshness is what heartbeats say of the configuration.
+// Freshness tells how current this instance's configuration is, and learns the same of peers from their heartbeats.
 type Freshness interface {
-	// Age returns the time since the platform was last heard of, by way of any peer.
+	// Age returns the time since this instance, or a peer whose updates it has, last reached the platform.
 	Age() time.Duration
-	// Heard takes what a peer says of its configuration.
+	// Heard takes the revision and age of the configuration that a peer reported.
 	Heard(address string, revision uint64, age time.Duration)
-	// Revision returns the revision in force here.
+	// Revision returns the current revision of the configuration here.
 	Revision() uint64
 }
 
 // Lister reads the platform's list of instances.
 type Lister interface {
-	// Instances returns the lagging list of live and leaving instances.
+	// Instances returns the live and draining instances; the list lags behind.
 	Instances(ctx context.Context) ([]store.Instance, error)
 }
 
 // Settings configures a fleet controller.
 type Settings struct {
 	Self       member.Member
-	Seeds      []string      // Seeds lists peer addresses to ask when the platform's list cannot be had.
-	ListPeriod time.Duration // ListPeriod is the time between two reads of the platform's list; 0 takes the default.
+	Seeds      []string      // Seeds holds peer addresses to ask when the platform's list is unreachable.
+	ListPeriod time.Duration // ListPeriod is the time between two reads of the platform's list; 0 is the default.
 }
 
-// Fleet keeps the view of the members.
+// Fleet is the membership controller of one instance.
 type Fleet struct {
 	*wait.Loop
-	settings Settings
-	net      peer.Net
-	list     Lister
-	fresh    Freshness
-	log      log.Interface
-	view     *cell.Cell[member.View]
-	news     *news
-	kick     chan struct{}
-	deaths   *metrics.Counter
-	unlisted atomic.Bool // unlisted tells that the platform's list could not be read last time.
-
-	mu     sync.Mutex
-	self   member.Member
-	turn   int
-	since  map[string]time.Time // since holds when a member became suspect or dead.
-	listed map[string]bool
-}
-
-// New returns a fleet that knows itself alone and begins to look for others.
-func New(s Settings, net peer.Net, platform Lister, fresh Freshness, logger log.Interface, set *metrics.Set) *Fleet {
+	settings        Settings
+	net             peer.Net
+	list            Lister
+	freshness       Freshness
+	log             log.Interface
+	view            *cell.Cell[member.View]
+	updateQueue     *updateQueue
+	pushRequested   chan struct{}
+	membersLost     *metrics.Counter
+	listUnreachable atomic.Bool // listUnreachable tells that the last read of the platform's list failed.
+
+	mu         sync.Mutex
+	self       member.Member
+	probeIndex int
+	stateSince map[string]time.Time // stateSince maps members to when they became suspect or dead.
+	listed     map[string]bool      // listed holds the names on the platform's list, as of the last read.
+}
+
+// New returns a fleet that knows only its own instance and starts to look for others.
+func New(s Settings, net peer.Net, platform Lister, freshness Freshness, logger log.Interface, set *metrics.Set) *Fleet {
 	f := &Fleet{
-		settings: s,
-		net:      net,
-		list:     platform,
-		fresh:    fresh,
-		log:      logger,
-		news:     newNews(),
-		kick:     make(chan struct{}, 1),
-		deaths:   set.GetOrCreateCounter("bramleywharf_members_lost_total"),
-		self:     s.Self,
-		since:    make(map[string]time.Time),
-		listed:   make(map[string]bool),
+		settings:      s,
+		net:           net,
+		list:          platform,
+		freshness:     freshness,
+		log:           logger,
+		updateQueue:   newUpdateQueue(),
+		pushRequested: make(chan struct{}, 1),
+		membersLost:   set.GetOrCreateCounter("bramleywharf_members_lost_total"),
+		self:          s.Self,
+		stateSince:    make(map[string]time.Time),
+		listed:        make(map[string]bool),
 	}
 	if f.settings.ListPeriod == 0 {
-		f.settings.ListPeriod = listPeriod
+		f.settings.ListPeriod = defaultListInterval
 	}
 	view, _ := member.View{}.WithMember(s.Self)
 	f.view = cell.New(view)
-	f.news.add(s.Self, 1)
+	f.updateQueue.add(s.Self, 1)
 	set.NewGauge("bramleywharf_members_live", func() float64 { return float64(len(f.View().Live())) })
 	f.Loop = wait.Start(f.loop)
 	return f
 }
 
-// Handle answers a heartbeat.
-func (f *Fleet) Handle(ctx context.Context, g wire.Gossip) wire.Message {
-	if g.Forward != "" {
-		if _, err := f.ask(ctx, g.Forward, wire.Gossip{}); err != nil {
+// Handle answers a peer's heartbeat, or probes another member on the peer's behalf if the heartbeat asks for it.
+func (f *Fleet) Handle(ctx context.Context, gossip wire.Gossip) wire.Message {
+	if gossip.Forward != "" {
+		if _, err := f.exchange(ctx, gossip.Forward, wire.Gossip{}); err != nil {
 			return wire.Failed{Reason: "no answer"}
 		}
-		return f.heartbeat(false, g.From.PeerAddress)
+		return f.newHeartbeat(false, gossip.From.PeerAddress)
 	}
-	f.merge(g)
-	return f.heartbeat(g.Full, g.From.PeerAddress)
+	f.mergeHeartbeat(gossip)
+	return f.newHeartbeat(gossip.Full, gossip.From.PeerAddress)
 }
 
-// Leave tells the members that this instance takes no new work.
+// Leave announces to the members that this instance is draining and takes no new work.
 func (f *Fleet) Leave() {
 	f.mu.Lock()
 	f.self.Leaving = true
 	self := f.self
 	f.mu.Unlock()
-	f.believe(self)
+	f.apply(self)
 	f.Push()
 }
 
-// Push tells a few members at once that there is news.
+// Push makes the controller send heartbeats to a few members at once, since there is an update.
 func (f *Fleet) Push() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.pushRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Self returns this instance as the members should know it.
+// Self returns this instance as it announces itself.
 func (f *Fleet) Self() member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.self
 }
 
-// View returns the members as this instance knows them.
+// View returns the current view of the members.
 func (f *Fleet) View() member.View {
 	return f.view.Load()
 }
 
-// ask sends a heartbeat and merges the answer.
-func (f *Fleet) ask(ctx context.Context, address string, g wire.Gossip) (wire.Gossip, error) {
+// exchange sends a heartbeat to an address and merges the answer; of the given gossip, Forward and Full are sent.
+func (f *Fleet) exchange(ctx context.Context, address string, gossip wire.Gossip) (wire.Gossip, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	forward, full := g.Forward, g.Full
-	g = f.heartbeat(false, address)
-	g.Forward, g.Full = forward, full
-	answer, err := f.net.Ask(ctx, address, g)
+	forward, full := gossip.Forward, gossip.Full
+	gossip = f.newHeartbeat(false, address)
+	gossip.Forward, gossip.Full = forward, full
+	answer, err := f.net.Ask(ctx, address, gossip)
 	if err != nil {
 		return wire.Gossip{}, err
 	}
-	heard, ok := answer.(wire.Gossip)
+	received, ok := answer.(wire.Gossip)
 	if !ok {
 		return wire.Gossip{}, peer.ErrRefused
 	}
-	f.merge(heard)
-	return heard, nil
+	f.mergeHeartbeat(received)
+	return received, nil
 }
 
-// believe merges one member into the view and spreads it if it is news.
-func (f *Fleet) believe(m member.Member) {
+// apply merges the state of a member into the view and, if that changes the view, spreads it as an update.
+func (f *Fleet) apply(m member.Member) {
 	if m.Name == f.settings.Self.Name {
 		m = f.refute(m)
 	}
 	changed := false
-	var now member.Member
+	var current member.Member
 	f.view.Update(func(v member.View) member.View {
 		v, changed = v.WithMember(m)
-		now, _ = v.Get(m.Name)
+		current, _ = v.Get(m.Name)
 		return v
 	})
 	if !changed {
 		return
 	}
-	f.news.add(now, f.view.Load().Len())
-	f.note(now)
+	f.updateQueue.add(current, f.view.Load().Len())
+	f.recordState(current)
 }
 
-// heartbeat returns what this instance tells the member at an address. A member that is not believed to be alive is told so each time, since it alone can refute it and the news may have gone round without it.
-func (f *Fleet) heartbeat(full bool, to string) wire.Gossip {
-	g := wire.Gossip{
+// newHeartbeat returns a heartbeat to the member at an address; full makes it carry all live members and not only
+// queued updates. A recipient that is suspect or dead in this view is always told so, since only it can refute that and
+// the update may have spread without reaching it.
+func (f *Fleet) newHeartbeat(full bool, recipient string) wire.Gossip {
+	gossip := wire.Gossip{
 		From:     f.Self(),
-		Revision: f.fresh.Revision(),
-		Age:      f.fresh.Age(),
+		Revision: f.freshness.Revision(),
+		Age:      f.freshness.Age(),
 	}
 	view := f.View()
 	if full {
-		g.Members = view.Live()
+		gossip.Members = view.Live()
 	} else {
-		g.Members = f.news.take()
+		gossip.Members = f.updateQueue.take()
 	}
 	for _, m := range view.All() {
-		if m.PeerAddress == to && m.State != member.Alive {
-			g.Members = append(g.Members, m)
+		if m.PeerAddress == recipient && m.State != member.Alive {
+			gossip.Members = append(gossip.Members, m)
 		}
 	}
-	return g
+	return gossip
 }
 
-// merge takes a heartbeat into the view.
-func (f *Fleet) merge(g wire.Gossip) {
-	if g.From.Name == "" {
+// mergeHeartbeat applies the members and the configuration revision that a heartbeat reports.
+func (f *Fleet) mergeHeartbeat(gossip wire.Gossip) {
+	if gossip.From.Name == "" {
 		return
 	}
-	f.believe(g.From)
-	for _, m := range g.Members {
-		f.believe(m)
+	f.apply(gossip.From)
+	for _, m := range gossip.Members {
+		f.apply(m)
 	}
-	f.fresh.Heard(g.From.PeerAddress, g.Revision, g.Age)
+	f.freshness.Heard(gossip.From.PeerAddress, gossip.Revision, gossip.Age)
 }
 
-// note records and logs a change of a member's state.
-func (f *Fleet) note(m member.Member) {
+// recordState logs a change of a member's state and records when the member became suspect or dead.
+func (f *Fleet) recordState(m member.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, missed := f.since[m.Name]
-	line := f.log.WithFields(log.Fields{"peer": m.Name, "incarnation": m.Incarnation})
+	_, wasDown := f.stateSince[m.Name]
+	logger := f.log.WithFields(log.Fields{"peer": m.Name, "incarnation": m.Incarnation})
 	switch m.State {
 	case member.Alive:
-		if missed {
-			line.Info("member is alive again")
+		if wasDown {
+			logger.Info("member is alive again")
 		}
-		delete(f.since, m.Name)
+		delete(f.stateSince, m.Name)
 		return
 	case member.Suspect:
-		line.Info("member is suspect")
+		logger.Info("member is suspect")
 	case member.Dead:
-		f.deaths.Inc()
-		line.Warn("member is dead")
+		f.membersLost.Inc()
+		logger.Warn("member is dead")
 	}
-	f.since[m.Name] = time.Now()
+	f.stateSince[m.Name] = time.Now()
 }
 
-// refute returns this instance with an incarnation that overrides what is told of it.
-func (f *Fleet) refute(told member.Member) member.Member {
+// refute returns this instance with an incarnation that overrides the state that others report of it.
+func (f *Fleet) refute(reported member.Member) member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if told.Incarnation >= f.self.Incarnation && told != f.self {
-		f.self.Incarnation = told.Incarnation + 1
+	if reported.Incarnation >= f.self.Incarnation && reported != f.self {
+		f.self.Incarnation = reported.Incarnation + 1
 	}
 	return f.self
 }
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -19,25 +19,26 @@
 	"github.com/pkg/errors"
 )
 
-// backBound is the time after which an instance that is in reach again must be known to all: callers keep an address for up to 5 s, and have to reach it within 8 s after it is stable.
-const backBound = 3 * time.Second
+// rejoinBound is the time within which all members must know that an instance is reachable again: callers keep an
+// address for up to 5 s, and have to reach the instance within 8 s after it is stable.
+const rejoinBound = 3 * time.Second
 
-// network joins fleets in memory; what a cut tells is not delivered.
+// network connects fleets in memory and does not deliver messages between instances that are cut off from each other.
 type network struct {
-	mu     sync.Mutex
-	fleets map[string]*Fleet
-	cut    func(from, to string) bool
-	down   bool // down tells that the platform's list cannot be read.
+	mu       sync.Mutex
+	fleets   map[string]*Fleet
+	cut      func(from, to string) bool
+	listDown bool // listDown tells that the platform's list cannot be read.
 }
 
-// end is one instance's way into the network.
-type end struct {
+// endpoint is the network as one instance sees it.
+type endpoint struct {
 	net  *network
 	self string
 }
 
-// Ask delivers a message, or lets it time out.
-func (e end) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
+// Ask delivers a message, or times out if either direction is cut.
+func (e endpoint) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
 	e.net.mu.Lock()
 	to, cut := e.net.fleets[address], e.net.cut
 	e.net.mu.Unlock()
@@ -52,11 +53,11 @@
 	return to.Handle(ctx, g), nil
 }
 
-// Instances lists all fleets.
+// Instances lists the instances of all fleets, or fails while listDown is set.
 func (n *network) Instances(context.Context) ([]store.Instance, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.down {
+	if n.listDown {
 		return nil, errors.New("down")
 	}
 	var list []store.Instance
@@ -66,22 +67,22 @@
 	return list, nil
 }
 
-// still is a configuration that never changes.
-type still struct{}
+// fixedFreshness is the freshness of a configuration that never changes.
+type fixedFreshness struct{}
 
-// Age returns nothing.
-func (still) Age() time.Duration { return 0 }
+// Age returns 0.
+func (fixedFreshness) Age() time.Duration { return 0 }
 
-// Heard takes nothing.
-func (still) Heard(string, uint64, time.Duration) {}
+// Heard ignores what a peer reports.
+func (fixedFreshness) Heard(string, uint64, time.Duration) {}
 
-// Revision returns the first.
-func (still) Revision() uint64 { return 1 }
+// Revision returns 1.
+func (fixedFreshness) Revision() uint64 { return 1 }
 
 // start adds an instance to the network.
 func (n *network) start(t *testing.T, name string, handler log.Handler) *Fleet {
 	self := member.Member{Name: name, PeerAddress: name, CallerAddress: name, Incarnation: 1}
-	f := New(Settings{Self: self}, end{net: n, self: name}, n, still{}, &log.Logger{Handler: handler, Level: log.InfoLevel}, metrics.NewSet())
+	f := New(Settings{Self: self}, endpoint{net: n, self: name}, n, fixedFreshness{}, &log.Logger{Handler: handler, Level: log.InfoLevel}, metrics.NewSet())
 	n.mu.Lock()
 	n.fleets[name] = f
 	n.mu.Unlock()
@@ -89,19 +90,19 @@
 	return f
 }
 
-// sever sets what is cut.
-func (n *network) sever(cut func(from, to string) bool) {
+// setCut sets the function that tells which paths are cut.
+func (n *network) setCut(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
-// lines returns the messages about one peer.
-func lines(h *memory.Handler, name string) []string {
+// messages returns the logged messages about one peer.
+func messages(h *memory.Handler, name string) []string {
 	var found []string
-	for _, e := range h.Entries {
-		if e.Fields["peer"] == name {
-			found = append(found, e.Message)
+	for _, entry := range h.Entries {
+		if entry.Fields["peer"] == name {
+			found = append(found, entry.Message)
 		}
 	}
 	return found
@@ -109,23 +110,23 @@
 
 func TestFleet(t *testing.T) {
 	const size = 12
-	lost := func(from, to string) bool { return from == "i-3" || to == "i-3" }
-	between := func(from, to string) bool { return from == "i-0" && to == "i-3" }
-	halves := func(from, to string) bool { return (from < "i-6") != (to < "i-6") }
+	isolated := func(from, to string) bool { return from == "i-3" || to == "i-3" }
+	onePath := func(from, to string) bool { return from == "i-0" && to == "i-3" }
+	partition := func(from, to string) bool { return (from < "i-6") != (to < "i-6") }
 	cases := map[string]struct {
-		cut   func(from, to string) bool
-		heal  bool // heal tells that the cut ends after ten seconds.
-		leave bool // leave tells that i-3 leaves.
-		state member.State
-		gone  bool     // gone tells that callers are not sent to i-3.
-		lines []string // lines are those that i-0 writes of i-3.
+		cut       func(from, to string) bool
+		heal      bool // heal tells that the cut ends after ten seconds.
+		leave     bool // leave tells that i-3 announces that it is draining.
+		state     member.State
+		withdrawn bool     // withdrawn tells that callers are no longer given the address of i-3.
+		messages  []string // messages are those that i-0 logs about i-3; nil is not checked.
 	}{
-		"calm":              {state: member.Alive},
-		"lost":              {cut: lost, state: member.Dead, gone: true, lines: []string{"member is suspect", "member is dead"}},
-		"lost-and-back":     {cut: lost, heal: true, state: member.Alive, lines: []string{"member is suspect", "member is dead", "member is alive again"}},
-		"one-path-is-cut":   {cut: between, state: member.Alive},
-		"parted-and-joined": {cut: halves, heal: true, state: member.Alive},
-		"leaving":           {leave: true, state: member.Alive, gone: true},
+		"no-fault":               {state: member.Alive},
+		"isolated":               {cut: isolated, state: member.Dead, withdrawn: true, messages: []string{"member is suspect", "member is dead"}},
+		"isolated-and-back":      {cut: isolated, heal: true, state: member.Alive, messages: []string{"member is suspect", "member is dead", "member is alive again"}},
+		"one-path-is-cut":        {cut: onePath, state: member.Alive},
+		"partitioned-and-healed": {cut: partition, heal: true, state: member.Alive},
+		"draining":               {leave: true, state: member.Alive, withdrawn: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -138,19 +139,19 @@
 					fleets[fmt.Sprint("i-", i)] = n.start(t, fmt.Sprint("i-", i), handler)
 					handler = memory.New()
 				}
-				first := fleets["i-0"].log.(*log.Logger).Handler.(*memory.Handler)
+				firstHandler := fleets["i-0"].log.(*log.Logger).Handler.(*memory.Handler)
 				time.Sleep(10 * time.Second)
 				for _, f := range fleets {
 					c.Assert(f.View().Live(), quicktest.HasLen, size)
 				}
-				n.sever(test.cut)
+				n.setCut(test.cut)
 				if test.leave {
 					fleets["i-3"].Leave()
 				}
 				time.Sleep(10 * time.Second)
 				if test.heal {
-					n.sever(nil)
-					time.Sleep(backBound)
+					n.setCut(nil)
+					time.Sleep(rejoinBound)
 				}
 				for name, f := range fleets {
 					if name == "i-3" {
@@ -159,14 +160,14 @@
 					m, ok := f.View().Get("i-3")
 					c.Check(ok, quicktest.IsTrue)
 					c.Check(m.State, quicktest.Equals, test.state, quicktest.Commentf("%s", name))
-					named := false
+					offered := false
 					for _, address := range f.View().Callable(name, true) {
-						named = named || address == "i-3"
+						offered = offered || address == "i-3"
 					}
-					c.Check(named, quicktest.Equals, !test.gone, quicktest.Commentf("%s", name))
+					c.Check(offered, quicktest.Equals, !test.withdrawn, quicktest.Commentf("%s", name))
 				}
-				if test.lines != nil {
-					c.Check(lines(first, "i-3"), quicktest.DeepEquals, test.lines)
+				if test.messages != nil {
+					c.Check(messages(firstHandler, "i-3"), quicktest.DeepEquals, test.messages)
 				}
 			})
 		})
@@ -175,12 +176,12 @@
 
 func TestElected(t *testing.T) {
 	cases := map[string]struct {
-		lost []string
-		down bool // down tells that the platform's list cannot be read.
+		isolated []string
+		listDown bool // listDown tells that the platform's list cannot be read.
 	}{
-		"all-there":        {},
-		"three-lost":       {lost: []string{"i-1", "i-5", "i-7"}},
-		"without-the-list": {lost: []string{"i-2"}, down: true},
+		"all-reachable":    {},
+		"three-isolated":   {isolated: []string{"i-1", "i-5", "i-7"}},
+		"list-unreachable": {isolated: []string{"i-2"}, listDown: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -193,18 +194,18 @@
 				}
 				time.Sleep(5 * time.Second)
 				n.mu.Lock()
-				n.down = test.down
+				n.listDown = test.listDown
 				n.mu.Unlock()
-				isLost := make(map[string]bool)
-				for _, name := range test.lost {
-					isLost[name] = true
+				isIsolated := make(map[string]bool)
+				for _, name := range test.isolated {
+					isIsolated[name] = true
 				}
-				n.sever(func(from, to string) bool { return isLost[from] || isLost[to] })
+				n.setCut(func(from, to string) bool { return isIsolated[from] || isIsolated[to] })
 				time.Sleep(15 * time.Second)
 				for role := range 20 {
 					count := 0
 					for name, f := range fleets {
-						if !isLost[name] && f.Elected(fmt.Sprint("role-", role), 2) {
+						if !isIsolated[name] && f.Elected(fmt.Sprint("role-", role), 2) {
 							count++
 						}
 					}
--- a/entry/fleet/loop.go
+++ b/entry/fleet/loop.go
@@ -13,10 +13,11 @@
 	"bramleywharf.example/core/wire"
 )
 
-// readers is the number of instances that read the platform's list for all.
-const readers = 3
+// listReaders is the number of instances that read the platform's list on behalf of the fleet.
+const listReaders = 3
 
-// Elected tells whether this instance is one of the few that act for all in a role.
+// Elected reports whether this instance is one of the count instances that act for the fleet in a role. They are chosen
+// by rendezvous hashing over the members that are alive, so each instance decides for itself.
 func (f *Fleet) Elected(role string, count int) bool {
 	var names []string
 	for _, m := range f.View().Live() {
@@ -24,18 +25,18 @@
 			names = append(names, m.Name)
 		}
 	}
-	for i, n := range route.Rank(role, names) {
+	for i, name := range route.Rank(role, names) {
 		if i == count {
 			return false
 		}
-		if n == f.settings.Self.Name {
+		if name == f.settings.Self.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// Quorum tells whether this instance reaches more than half of the members that should be there.
+// Quorum reports whether more than half of the expected members are alive in this instance's view.
 func (f *Fleet) Quorum() bool {
 	view := f.View()
 	alive := 0
@@ -52,15 +53,15 @@
 	return len(f.View().Live())
 }
 
-// loop reconciles the view with what probes find.
+// loop joins the fleet and then probes, reads the list, reconnects and pushes until ctx ends.
 func (f *Fleet) loop(ctx context.Context) {
 	f.join(ctx)
-	probe := time.NewTicker(probePeriod)
+	probe := time.NewTicker(probeInterval)
 	defer probe.Stop()
 	list := time.NewTicker(f.settings.ListPeriod)
 	defer list.Stop()
-	revisit := time.NewTicker(revisitPeriod)
-	defer revisit.Stop()
+	reconnect := time.NewTicker(reconnectInterval)
+	defer reconnect.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
@@ -68,45 +69,47 @@
 		case <-ctx.Done():
 			return
 		case <-probe.C:
-			f.expire()
+			f.expireMembers()
 			group.Go(func() { f.probeNext(ctx) })
 		case <-list.C:
-			group.Go(func() { f.readList(ctx) })
-		case <-revisit.C:
-			group.Go(func() { f.revisit(ctx) })
-		case <-f.kick:
+			group.Go(func() { f.readListIfElected(ctx) })
+		case <-reconnect.C:
+			group.Go(func() { f.reconnect(ctx) })
+		case <-f.pushRequested:
 			group.Go(func() { f.push(ctx) })
 		}
 	}
 }
 
-// expire declares suspects dead that did not refute, and forgets members dead for long.
-func (f *Fleet) expire() {
+// expireMembers marks suspects dead that did not refute in time, and forgets members that have long been dead and are
+// not listed.
+func (f *Fleet) expireMembers() {
 	now := time.Now()
 	view := f.View()
 	f.mu.Lock()
-	since := make(map[string]time.Time, len(f.since))
-	for name, at := range f.since {
-		since[name] = at
+	stateSince := make(map[string]time.Time, len(f.stateSince))
+	for name, at := range f.stateSince {
+		stateSince[name] = at
 	}
 	listed := f.listed
 	f.mu.Unlock()
-	for name, at := range since {
+	for name, at := range stateSince {
 		m, ok := view.Get(name)
 		switch {
 		case !ok:
-		case m.State == member.Suspect && now.Sub(at) > suspectLife:
+		case m.State == member.Suspect && now.Sub(at) > suspectTimeout:
 			m.State = member.Dead
-			f.believe(m)
-		case m.State == member.Dead && now.Sub(at) > deadLife && !listed[name]:
+			f.apply(m)
+		case m.State == member.Dead && now.Sub(at) > deadRetention && !listed[name]:
 			f.view.Update(func(v member.View) member.View { return v.WithoutMember(name) })
 		}
 	}
 }
 
-// join learns the members from the platform's list or, without it, from the seeds.
+// join learns the members from the platform's list and from the first seed or neighbour that answers, and announces
+// this instance.
 func (f *Fleet) join(ctx context.Context) {
-	f.readAll(ctx)
+	f.readList(ctx)
 	addresses := append([]string(nil), f.settings.Seeds...)
 	for _, m := range f.View().Neighbours(f.settings.Self.Name, neighbourCount) {
 		addresses = append(addresses, m.PeerAddress)
@@ -115,70 +118,71 @@
 		if address == f.settings.Self.PeerAddress {
 			continue
 		}
-		if _, err := f.ask(ctx, address, wire.Gossip{Full: true}); err == nil {
+		if _, err := f.exchange(ctx, address, wire.Gossip{Full: true}); err == nil {
 			break
 		}
 	}
 	f.push(ctx)
 }
 
-// readAll lets the platform's list add members.
-func (f *Fleet) readAll(ctx context.Context) {
+// readList adds the members on the platform's list to the view.
+func (f *Fleet) readList(ctx context.Context) {
 	list, err := f.list.Instances(ctx)
 	switch failed := err != nil; {
-	case failed && !f.unlisted.Swap(true):
-		f.log.WithError(err).Warn("list of instances cannot be read; heartbeats carry the news")
-	case !failed && f.unlisted.Swap(false):
-		f.log.WithField("objects", len(list)).Info("list of instances is read again")
+	case failed && !f.listUnreachable.Swap(true):
+		f.log.WithError(err).Warn("list of instances cannot be read; members are learnt from heartbeats only")
+	case !failed && f.listUnreachable.Swap(false):
+		f.log.WithField("objects", len(list)).Info("list of instances can be read again")
 	}
 	if err != nil {
 		return
 	}
 	listed := make(map[string]bool, len(list))
-	for _, i := range list {
-		listed[i.Name] = true
-		f.admit(i)
+	for _, instance := range list {
+		listed[instance.Name] = true
+		f.addListed(instance)
 	}
 	f.mu.Lock()
 	f.listed = listed
 	f.mu.Unlock()
 }
 
-// admit adds a listed instance that is not known.
-func (f *Fleet) admit(i store.Instance) {
-	known, ok := f.View().Get(i.Name)
-	if ok && i.Leaving && !known.Leaving {
+// addListed adds a listed instance to the view if it is not known, and marks a known one as draining if the list does.
+func (f *Fleet) addListed(instance store.Instance) {
+	known, ok := f.View().Get(instance.Name)
+	if ok && instance.Leaving && !known.Leaving {
 		known.Leaving = true
-		f.believe(known)
+		f.apply(known)
 	}
 	if ok {
 		return
 	}
-	f.believe(member.Member{
-		Name:          i.Name,
-		Domain:        i.Domain,
-		CallerAddress: i.CallerAddress,
-		PeerAddress:   i.PeerAddress,
-		Leaving:       i.Leaving,
+	f.apply(member.Member{
+		Name:          instance.Name,
+		Domain:        instance.Domain,
+		CallerAddress: instance.CallerAddress,
+		PeerAddress:   instance.PeerAddress,
+		Leaving:       instance.Leaving,
 	})
 }
 
-// probe asks a member for a heartbeat, by way of others if need be, and suspects it when none comes.
+// probe exchanges heartbeats with a member. If it does not answer, a few others are asked to probe it, and if none of
+// them reaches it, it becomes suspect.
 func (f *Fleet) probe(ctx context.Context, m member.Member) {
-	if _, err := f.ask(ctx, m.PeerAddress, wire.Gossip{}); err == nil || ctx.Err() != nil {
+	if _, err := f.exchange(ctx, m.PeerAddress, wire.Gossip{}); err == nil || ctx.Err() != nil {
 		return
 	}
-	for _, helper := range f.some(helpers, m.Name) {
-		if _, err := f.ask(ctx, helper.PeerAddress, wire.Gossip{Forward: m.PeerAddress}); err == nil {
+	for _, helper := range f.randomLive(indirectProbes, m.Name) {
+		if _, err := f.exchange(ctx, helper.PeerAddress, wire.Gossip{Forward: m.PeerAddress}); err == nil {
 			return
 		}
 	}
-	now, ok := f.View().Get(m.Name)
-	if ctx.Err() != nil || !ok || now.Incarnation != m.Incarnation || now.State != member.Alive {
+	current, ok := f.View().Get(m.Name)
+	if ctx.Err() != nil || !ok || current.Incarnation != m.Incarnation || current.State != member.Alive {
 		return
 	}
-	now.State = member.Suspect
-	f.believe(now)
+	current.State = member.Suspect
+	f.apply(current)
 }
 
 // probeNext probes the next neighbour.
@@ -188,46 +192,48 @@
 		return
 	}
 	f.mu.Lock()
-	f.turn++
-	next := neighbours[f.turn%len(neighbours)]
+	f.probeIndex++
+	next := neighbours[f.probeIndex%len(neighbours)]
 	f.mu.Unlock()
 	f.probe(ctx, next)
 }
 
-// push sends heartbeats to a few members at once.
+// push sends heartbeats to a few random members at once.
 func (f *Fleet) push(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, m := range f.some(pushFanout, "") {
-		group.Go(func() { _, _ = f.ask(ctx, m.PeerAddress, wire.Gossip{}) }) // Whoever misses it is probed in turn, which decides.
+	for _, m := range f.randomLive(pushFanout, "") {
+		// A failure is ignored here, since only probes decide on a member's state.
+		group.Go(func() { _, _ = f.exchange(ctx, m.PeerAddress, wire.Gossip{}) })
 	}
 	group.Wait()
 }
 
-// readList reads the platform's list if this instance is one of its readers or knows no others.
-func (f *Fleet) readList(ctx context.Context) {
-	if f.Elected("list", readers) {
-		f.readAll(ctx)
+// readListIfElected reads the platform's list if this instance is one of its readers, as it is if it knows no other.
+func (f *Fleet) readListIfElected(ctx context.Context) {
+	if f.Elected("list", listReaders) {
+		f.readList(ctx)
 	}
 }
 
-// revisit tries to reach dead members until one does not answer, so that the sides of a healed partition find each other.
-func (f *Fleet) revisit(ctx context.Context) {
-	dead := f.dead()
-	rand.Shuffle(len(dead), func(i, j int) { dead[i], dead[j] = dead[j], dead[i] })
-	for _, m := range dead {
-		if _, err := f.ask(ctx, m.PeerAddress, wire.Gossip{Full: true}); err != nil {
-			return // It is most likely still dead; another is next in turn.
+// reconnect asks dead members in random order for their whole view until one does not answer, so that the sides of a
+// healed partition find each other.
+func (f *Fleet) reconnect(ctx context.Context) {
+	deadMembers := f.deadMembers()
+	rand.Shuffle(len(deadMembers), func(i, j int) { deadMembers[i], deadMembers[j] = deadMembers[j], deadMembers[i] })
+	for _, m := range deadMembers {
+		if _, err := f.exchange(ctx, m.PeerAddress, wire.Gossip{Full: true}); err != nil {
+			return // It is probably still dead; the next run tries in another order.
 		}
 	}
 }
 
-// dead returns the members that are believed to be dead.
-func (f *Fleet) dead() []member.Member {
+// deadMembers returns the members that are dead in the view.
+func (f *Fleet) deadMembers() []member.Member {
 	return slices.DeleteFunc(f.View().All(), func(m member.Member) bool { return m.State != member.Dead })
 }
 
-// some returns a few live members at random, leaving out this instance and one other.
-func (f *Fleet) some(count int, except string) []member.Member {
+// randomLive returns up to count random live members other than this instance and the one named by except.
+func (f *Fleet) randomLive(count int, except string) []member.Member {
 	live := f.View().Live()
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	var chosen []member.Member
--- a/entry/fleet/news.go
+++ b/entry/fleet/news.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	newsPerMessage = 12 // newsPerMessage bounds the members told of in one heartbeat.
-	newsRounds     = 3  // newsRounds is multiplied by the logarithm of the fleet to get how often one piece is told.
+	updatesPerHeartbeat = 12 // updatesPerHeartbeat limits the queued updates that one heartbeat carries.
+	updateSendFactor    = 3  // updateSendFactor times the logarithm of the fleet's size is how often an update is sent.
 )
 
-// news is the queue of members to tell others of.
-type news struct {
+// updateQueue holds changed members, by name, that are still to be sent with heartbeats.
+type updateQueue struct {
 	mu    sync.Mutex
-	items map[string]item
+	items map[string]queuedUpdate
 }
 
-// item is one piece of news and how often it is still to be told.
-type item struct {
-	member member.Member
-	left   int
+// queuedUpdate is a changed member and the number of heartbeats that are still to carry it.
+type queuedUpdate struct {
+	member    member.Member
+	sendsLeft int
 }
 
-// newNews returns an empty queue.
-func newNews() *news {
-	return &news{items: make(map[string]item)}
+// newUpdateQueue returns an empty queue.
+func newUpdateQueue() *updateQueue {
+	return &updateQueue{items: make(map[string]queuedUpdate)}
 }
 
-// add queues a member in a fleet of a size.
-func (n *news) add(m member.Member, size int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.items[m.Name] = item{member: m, left: newsRounds * (bits.Len(uint(size)) + 1)}
+// add queues a changed member for a fleet of the given size, and replaces an older update of it.
+func (q *updateQueue) add(m member.Member, size int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.items[m.Name] = queuedUpdate{member: m, sendsLeft: updateSendFactor * (bits.Len(uint(size)) + 1)}
 }
 
-// take returns the next members to tell of.
-func (n *news) take() []member.Member {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	var told []member.Member
-	for name, i := range n.items {
-		if len(told) == newsPerMessage {
+// take returns the updates for one heartbeat and drops those that have been sent often enough.
+func (q *updateQueue) take() []member.Member {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var members []member.Member
+	for name, update := range q.items {
+		if len(members) == updatesPerHeartbeat {
 			break
 		}
-		told = append(told, i.member)
-		i.left--
-		if i.left <= 0 {
-			delete(n.items, name)
+		members = append(members, update.member)
+		update.sendsLeft--
+		if update.sendsLeft <= 0 {
+			delete(q.items, name)
 			continue
 		}
-		n.items[name] = i
+		q.items[name] = update
 	}
-	return told
+	return members
 }
