--- a/core/site/config.go
+++ b/core/site/config.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Repeat is the sealed set of what may be sent more than once: Idempotent, Once and Stream.
+// Repeat says whether a route's requests may be sent more than once.
+// It is a sealed interface: Idempotent, Once and Stream implement it.
 type Repeat interface {
 	isRepeat()
 }
@@ -15,34 +16,34 @@
 // Idempotent requests may run any number of times.
 type Idempotent struct{}
 
-// Once marks requests that run at most once.
+// Once requests run at most once.
 type Once struct{}
 
-// Stream marks requests that are answered by a series of events.
+// Stream requests are answered by a stream of events.
 type Stream struct {
-	Resumable bool          // Resumable streams may go on at another target after the last event.
-	Pause     time.Duration // Pause is the longest pause between events of a response that is on time.
+	Resumable bool          // Resumable streams may continue on another target after their last event.
+	Pause     time.Duration // Pause is the longest gap between events that counts as on time.
 }
 
 func (Idempotent) isRepeat() {}
 func (Once) isRepeat()       {}
 func (Stream) isRepeat()     {}
 
-// Route says where the requests below one path of a host go.
+// Route maps the requests to one host and path prefix to services.
 type Route struct {
 	Name     string
 	Host     string
 	Prefix   string // Prefix begins and ends with a slash.
 	Repeat   Repeat
-	Timeout  time.Duration // Timeout bounds the wait for the final answer; 0 means none.
-	Aim      time.Duration // Aim is the latency within which a response is on time.
-	Attempts int           // Attempts bounds the targets that one request may be sent to.
+	Timeout  time.Duration // Timeout bounds the wait for the complete response; 0 means no timeout.
+	Aim      time.Duration // Aim is the latency up to which a response counts as on time.
+	Attempts int           // Attempts is the most targets that one request may be sent to.
 	Priority int           // Priority ranks requests; 0 is the most urgent.
 	Public   bool          // Public routes need no key.
 	Shares   []Share
 }
 
-// Share is a service's part of a route's requests.
+// Share is the weight of one service among those that serve a route.
 type Share struct {
 	Service string
 	Weight  float64
@@ -51,7 +52,7 @@
 // Service is a set of targets that run the same program.
 type Service struct {
 	Name     string
-	MaxConns int // MaxConns bounds the connections of one target, all instances together; 0 means unknown.
+	MaxConns int // MaxConns bounds the connections of all instances to one target; 0 means unknown.
 	Engine   *Engine
 }
 
@@ -59,34 +60,34 @@
 type Engine struct {
 	Slots  int
 	Memory int           // Memory is the capacity of one engine, in tokens.
-	Copies bool          // Copies tells that engines keep copies of running generations for each other.
-	Keep   time.Duration // Keep is how long an engine keeps such a copy after the run's end.
+	Copies bool          // Copies is set if engines keep replicas of each other's running generations.
+	Keep   time.Duration // Keep is how long an engine keeps a replica after the generation's end.
 }
 
 // Organisation is a caller.
 type Organisation struct {
 	Name     string
-	Priority int  // Priority goes before a route's priority.
-	Ranked   bool // Ranked tells whether Priority is given.
+	Priority int  // Priority overrides the route's priority.
+	Ranked   bool // Ranked is set if Priority is given.
 }
 
 // Limits bound what callers may send.
 type Limits struct {
-	Header        int // Header bounds the headers, in bytes.
-	Body          int // Body bounds the body, in bytes.
+	Header        int // Header is the most bytes of all headers.
+	Body          int // Body is the most bytes of the body.
 	HeaderTimeout time.Duration
-	Idle          time.Duration // Idle bounds how long a caller's connection may stay idle.
+	Idle          time.Duration // Idle is how long a caller's connection may stay idle.
 }
 
-// Config is one version of the whole configuration; its values are never changed after construction.
+// Config is one version of the whole configuration. It is immutable.
 type Config struct {
 	Version       string
 	Revision      uint64 // Revision is the store's revision of this version.
 	Limits        Limits
-	routes        map[string][]Route
-	services      map[string]Service
-	organisations map[string]Organisation
-	keyed         bool
+	routes        map[string][]Route      // By host, the longest prefix first.
+	services      map[string]Service      // By name.
+	organisations map[string]Organisation // By key.
+	requiresKeys  bool
 }
 
 // NewConfig returns an empty configuration at a version.
@@ -100,7 +101,7 @@
 	return o, ok
 }
 
-// IsOnlyEngine tells whether a service has model engines and no other has.
+// IsOnlyEngine reports whether the service is the only one that has model engines.
 func (c *Config) IsOnlyEngine(name string) bool {
 	for _, s := range c.services {
 		if (s.Engine != nil) != (s.Name == name) {
@@ -111,14 +112,14 @@
 	return ok
 }
 
-// Keyed tells whether callers need keys at all.
+// Keyed reports whether callers need keys at all.
 func (c *Config) Keyed() bool {
-	return c.keyed
+	return c.requiresKeys
 }
 
-// Match returns the route of a host with the longest prefix of a path.
+// Match returns the host's route with the longest prefix that matches the path.
 func (c *Config) Match(host, path string) (Route, bool) {
-	for _, r := range c.routes[canonical(host)] {
+	for _, r := range c.routes[normaliseHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -132,11 +133,11 @@
 	return s, ok
 }
 
-// WithOrganisations returns a copy whose callers are the organisations by key.
+// WithOrganisations returns a copy in which callers need keys and have the given organisations by key.
 func (c *Config) WithOrganisations(byKey map[string]Organisation) *Config {
 	next := *c
 	next.organisations = byKey
-	next.keyed = true
+	next.requiresKeys = true
 	return &next
 }
 
@@ -145,11 +146,11 @@
 	next := *c
 	next.routes = make(map[string][]Route)
 	for _, r := range routes {
-		host := canonical(r.Host)
+		host := normaliseHost(r.Host)
 		next.routes[host] = append(next.routes[host], r)
 	}
-	for _, list := range next.routes {
-		slices.SortStableFunc(list, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, hostRoutes := range next.routes {
+		slices.SortStableFunc(hostRoutes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return &next
 }
@@ -164,16 +165,16 @@
 	return &next
 }
 
-// Pick returns the service of a request at a draw from 0 to 1.
+// Pick chooses a service by weight; draw is a random number of at least 0 and below 1.
 func (r Route) Pick(draw float64) string {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := draw * total
+	remaining := draw * total
 	for _, s := range r.Shares {
-		at -= s.Weight
-		if at < 0 && s.Weight > 0 {
+		remaining -= s.Weight
+		if remaining < 0 && s.Weight > 0 {
 			return s.Service
 		}
 	}
@@ -183,8 +184,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// canonical returns a host without its port, in lower case.
-func canonical(host string) string {
+// normaliseHost returns the host in lower case without its port.
+func normaliseHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/core/site/site_test.go
+++ b/core/site/site_test.go
@@ -17,13 +17,13 @@
 	cases := map[string]struct {
 		host, path, want string
 	}{
-		"longest":       {"a.example", "/x/y/z", "long"},
-		"shorter":       {"a.example", "/x/z", "short"},
-		"root":          {"a.example", "/xy", "all"},
-		"port-and-case": {"A.example:8080", "/x/", "short"},
-		"other-host":    {"b.example", "/x/q", "other"},
-		"no-prefix":     {"b.example", "/", ""},
-		"no-host":       {"c.example", "/x/", ""},
+		"longest-prefix": {"a.example", "/x/y/z", "long"},
+		"shorter-prefix": {"a.example", "/x/z", "short"},
+		"root":           {"a.example", "/xy", "all"},
+		"port-and-case":  {"A.example:8080", "/x/", "short"},
+		"other-host":     {"b.example", "/x/q", "other"},
+		"unmatched-path": {"b.example", "/", ""},
+		"unknown-host":   {"c.example", "/x/", ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,13 +41,13 @@
 		draw   float64
 		want   string
 	}{
-		"first":      {shares, 0, "a"},
-		"below":      {shares, 0.899, "a"},
-		"second":     {shares, 0.901, "b"},
-		"last":       {shares, 0.999, "b"},
-		"one":        {[]Share{{"a", 1}}, 0.7, "a"},
-		"none":       {nil, 0.5, ""},
-		"no-weights": {[]Share{{"a", 0}, {"b", 0}}, 0.5, "b"},
+		"draw-of-zero":            {shares, 0, "a"},
+		"just-below-first-weight": {shares, 0.899, "a"},
+		"just-above-first-weight": {shares, 0.901, "b"},
+		"zero-weight-is-skipped":  {shares, 0.999, "b"},
+		"one-service":             {[]Share{{"a", 1}}, 0.7, "a"},
+		"no-service":              {nil, 0.5, ""},
+		"no-weights":              {[]Share{{"a", 0}, {"b", 0}}, 0.5, "b"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,28 +63,28 @@
 	leaving := func(t Target) Target { t.Leaving = true; return t }
 	successor := Target{Name: "c", Service: "s", Address: "1", Revision: 9}
 	type step struct {
-		targets []Target
-		after   time.Duration
-		keep    time.Duration
+		targets   []Target
+		elapsed   time.Duration
+		retention time.Duration
 	}
 	cases := map[string]struct {
 		steps []step
 		want  []string
 	}{
-		"listed":                    {[]step{{[]Target{a, b}, 0, 0}}, []string{"a", "b"}},
-		"leaving-is-closed":         {[]step{{[]Target{a, leaving(b)}, 0, 0}}, []string{"a"}},
-		"gone":                      {[]step{{[]Target{a, b}, 0, 0}, {[]Target{a}, 0, 0}}, []string{"a"}},
-		"lapsed-is-kept":            {[]step{{[]Target{a, b}, 0, 0}, {[]Target{a}, time.Second, 2 * time.Second}}, []string{"a", "b"}},
-		"lapsed-for-too-long":       {[]step{{[]Target{a, b}, 0, 0}, {[]Target{a}, time.Second, 2 * time.Second}, {[]Target{a}, 3 * time.Second, 2 * time.Second}}, []string{"a"}},
-		"leaving-is-not-kept":       {[]step{{[]Target{a, leaving(b)}, 0, 0}, {[]Target{a}, time.Second, 2 * time.Second}}, []string{"a"}},
-		"successor-of-an-address":   {[]step{{[]Target{a, b, successor}, 0, 0}}, []string{"b", "c"}},
-		"successor-ends-the-lapsed": {[]step{{[]Target{a, b}, 0, 0}, {[]Target{b, successor}, time.Second, 2 * time.Second}}, []string{"b", "c"}},
+		"listed":                      {[]step{{[]Target{a, b}, 0, 0}}, []string{"a", "b"}},
+		"leaving-gets-no-work":        {[]step{{[]Target{a, leaving(b)}, 0, 0}}, []string{"a"}},
+		"missing":                     {[]step{{[]Target{a, b}, 0, 0}, {[]Target{a}, 0, 0}}, []string{"a"}},
+		"missing-is-retained":         {[]step{{[]Target{a, b}, 0, 0}, {[]Target{a}, time.Second, 2 * time.Second}}, []string{"a", "b"}},
+		"missing-for-too-long":        {[]step{{[]Target{a, b}, 0, 0}, {[]Target{a}, time.Second, 2 * time.Second}, {[]Target{a}, 3 * time.Second, 2 * time.Second}}, []string{"a"}},
+		"leaving-is-not-retained":     {[]step{{[]Target{a, leaving(b)}, 0, 0}, {[]Target{a}, time.Second, 2 * time.Second}}, []string{"a"}},
+		"newer-at-same-address":       {[]step{{[]Target{a, b, successor}, 0, 0}}, []string{"b", "c"}},
+		"newer-at-address-of-missing": {[]step{{[]Target{a, b}, 0, 0}, {[]Target{b, successor}, time.Second, 2 * time.Second}}, []string{"b", "c"}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := &Roster{}
 			for _, s := range test.steps {
-				r = r.WithTargets(s.targets, start.Add(s.after), s.keep)
+				r = r.WithTargets(s.targets, start.Add(s.elapsed), s.retention)
 			}
 			var got []string
 			for _, target := range r.Open("s") {
@@ -96,21 +96,21 @@
 }
 
 func TestMoved(t *testing.T) {
-	was := Target{Name: "a", Service: "s", Address: "1", Started: 1}
+	before := Target{Name: "a", Service: "s", Address: "1", Started: 1}
 	cases := map[string]struct {
-		now  []Target
-		want bool
+		targets []Target
+		want    bool
 	}{
-		"same":          {[]Target{was}, false},
-		"gone":          {nil, true},
-		"started-again": {[]Target{{Name: "a", Service: "s", Address: "1", Started: 2}}, true},
+		"same":          {[]Target{before}, false},
+		"removed":       {nil, true},
+		"restarted":     {[]Target{{Name: "a", Service: "s", Address: "1", Started: 2}}, true},
 		"other-address": {[]Target{{Name: "a", Service: "s", Address: "2", Started: 1}}, true},
 		"leaving":       {[]Target{{Name: "a", Service: "s", Address: "1", Started: 1, Leaving: true}}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			old := (&Roster{}).WithTargets([]Target{was}, time.Now(), 0)
-			quicktest.Assert(t, old.WithTargets(test.now, time.Now(), 0).Moved(old)["a"], quicktest.Equals, test.want)
+			old := (&Roster{}).WithTargets([]Target{before}, time.Now(), 0)
+			quicktest.Assert(t, old.WithTargets(test.targets, time.Now(), 0).Moved(old)["a"], quicktest.Equals, test.want)
 		})
 	}
 }
--- a/core/site/successor.go
+++ b/core/site/successor.go
@@ -6,34 +6,37 @@
 	"time"
 )
 
-// successorLife is how long a successor is used that the platform does not list although it answers: the time in which a target that lives must be listed again.
-const successorLife = 2 * time.Second
+// unlistedTTL bounds the use of a successor that the platform's current list lacks, even if it still answers.
+// A live target is listed again within this time.
+const unlistedTTL = 2 * time.Second
 
-// Successor is a target that was found at the address of another one of its service, before the platform listed it.
+// Successor is a target found at the address of another target of its service before the platform listed it.
 type Successor struct {
-	Of     Target // Of is the target that it follows.
+	Of     Target // Of is the predecessor: the target that was at the address before.
 	Name   string
 	Found  time.Time
-	listed bool // listed tells that the platform has listed it since, so that its list alone counts.
+	listed bool // The platform has listed the successor since; from then on only the list counts.
 }
 
-// Successors holds successors by the names of the targets that they follow; its values are never changed after construction.
+// Successors is a set of successors, one for each predecessor. It is immutable.
 type Successors struct {
-	byName map[string]Successor
+	byPredecessor map[string]Successor
 }
 
-// Unlisted returns the successors that the platform has not listed, in no order.
+// Unlisted returns the successors that the platform has not listed, in no particular order.
 func (s Successors) Unlisted() []Successor {
-	return slices.DeleteFunc(slices.Collect(maps.Values(s.byName)), func(one Successor) bool { return one.listed })
+	return slices.DeleteFunc(slices.Collect(maps.Values(s.byPredecessor)), func(successor Successor) bool { return successor.listed })
 }
 
 // Len returns the number of successors.
 func (s Successors) Len() int {
-	return len(s.byName)
+	return len(s.byPredecessor)
 }
 
-// Apply returns the targets with successors in the places of those that they follow, and the successors that are still needed for that. A target that is followed has ended, so it is left out also when its successor has been listed itself or is given up; settled tells that what the platform does not list is gone.
-func (s Successors) Apply(targets []Target, now time.Time, settled bool) ([]Target, Successors) {
+// Apply replaces predecessors among the targets by their successors; it also returns the successors still needed.
+// A predecessor has ended, so it is dropped even if its successor is listed itself or has expired.
+// authoritative is set if a target that the platform does not list is certainly gone.
+func (s Successors) Apply(targets []Target, now time.Time, authoritative bool) ([]Target, Successors) {
 	if s.Len() == 0 {
 		return targets, s
 	}
@@ -42,16 +45,16 @@
 		listed[t.Name] = true
 	}
 	applied := make([]Target, 0, len(targets))
-	next := Successors{byName: make(map[string]Successor)}
+	next := Successors{byPredecessor: make(map[string]Successor)}
 	for _, t := range targets {
-		successor, ok := s.byName[t.Name]
+		successor, ok := s.byPredecessor[t.Name]
 		if !ok || successor.Of.Started != t.Started || successor.Of.Address != t.Address {
 			applied = append(applied, t)
 			continue
 		}
 		successor.listed = successor.listed || listed[successor.Name]
-		next.byName[t.Name] = successor
-		if successor.listed || settled && now.Sub(successor.Found) > successorLife {
+		next.byPredecessor[t.Name] = successor
+		if successor.listed || authoritative && now.Sub(successor.Found) > unlistedTTL {
 			continue
 		}
 		t.Name, t.Started, t.Leaving = successor.Name, 0, false
@@ -60,21 +63,22 @@
 	return applied, next
 }
 
-// WithSuccessor returns successors that know one more, and whether it is news. The successor of a successor follows the target that the platform lists.
-func (s Successors) WithSuccessor(next Successor) (Successors, bool) {
-	for _, known := range s.byName {
-		if known.Name == next.Of.Name && known.Of.Address == next.Of.Address {
-			next.Of = known.Of
+// WithSuccessor returns the set with one more successor, and whether the set changed.
+// A successor of a successor is stored under the predecessor that the platform lists.
+func (s Successors) WithSuccessor(successor Successor) (Successors, bool) {
+	for _, known := range s.byPredecessor {
+		if known.Name == successor.Of.Name && known.Of.Address == successor.Of.Address {
+			successor.Of = known.Of
 		}
 	}
-	known, ok := s.byName[next.Of.Name]
-	if ok && (known.Name == next.Name || !next.Found.After(known.Found)) {
+	known, ok := s.byPredecessor[successor.Of.Name]
+	if ok && (known.Name == successor.Name || !successor.Found.After(known.Found)) {
 		return s, false
 	}
-	all := maps.Clone(s.byName)
-	if all == nil {
-		all = make(map[string]Successor)
+	updated := maps.Clone(s.byPredecessor)
+	if updated == nil {
+		updated = make(map[string]Successor)
 	}
-	all[next.Of.Name] = next
-	return Successors{byName: all}, true
+	updated[successor.Of.Name] = successor
+	return Successors{byPredecessor: updated}, true
 }
--- a/core/site/successor_test.go
+++ b/core/site/successor_test.go
@@ -14,51 +14,51 @@
 	successor := func(of Target, name string, age time.Duration) Successor {
 		return Successor{Of: of, Name: name, Found: now.Add(-age)}
 	}
-	with := func(t Target, name string) Target {
+	replacedBy := func(t Target, name string) Target {
 		t.Name, t.Started = name, 0
 		return t
 	}
-	again := a
-	again.Started = 9
+	restarted := a
+	restarted.Started = 9
 	moved := a
 	moved.Address = "3"
 	leaving := a
 	leaving.Leaving = true
 	cases := map[string]struct {
-		successors []Successor
-		before     []Target // before holds the targets that were listed a moment ago, or none.
-		targets    []Target
-		settled    bool
-		want       []Target
-		left       int // left counts the successors that are still needed.
+		successors    []Successor
+		before        []Target // The targets of an earlier list, if there was one.
+		targets       []Target
+		authoritative bool
+		want          []Target
+		remaining     int // The number of successors still needed.
 	}{
-		"none":                       {targets: []Target{a, b}, want: []Target{a, b}},
-		"in-its-place":               {successors: []Successor{successor(a, "c", 0)}, targets: []Target{a, b}, want: []Target{with(a, "c"), b}, left: 1},
-		"of-an-successor":            {successors: []Successor{successor(a, "c", time.Second), successor(with(a, "c"), "d", 0)}, targets: []Target{a, b}, want: []Target{with(a, "d"), b}, left: 1},
-		"older-news-is-no-news":      {successors: []Successor{successor(a, "c", 0), successor(a, "d", time.Second)}, targets: []Target{a}, want: []Target{with(a, "c")}, left: 1},
-		"listed-itself":              {successors: []Successor{successor(a, "b", 0)}, targets: []Target{a, b}, want: []Target{b}, left: 1},
-		"listed-and-then-removed":    {successors: []Successor{successor(a, "c", 0)}, before: []Target{a, with(a, "c")}, targets: []Target{a, b}, want: []Target{b}, left: 1},
-		"followed-one-is-gone":       {successors: []Successor{successor(a, "c", 0)}, targets: []Target{b}, want: []Target{b}},
-		"followed-one-started-again": {successors: []Successor{successor(a, "c", 0)}, targets: []Target{again}, want: []Target{again}},
-		"followed-one-moved":         {successors: []Successor{successor(a, "c", 0)}, targets: []Target{moved}, want: []Target{moved}},
-		"followed-one-was-leaving":   {successors: []Successor{successor(a, "c", 0)}, targets: []Target{leaving}, want: []Target{with(a, "c")}, left: 1},
-		"young-and-settled":          {successors: []Successor{successor(a, "c", time.Second)}, targets: []Target{a, b}, settled: true, want: []Target{with(a, "c"), b}, left: 1},
-		"old-and-not-settled":        {successors: []Successor{successor(a, "c", time.Hour)}, targets: []Target{a, b}, want: []Target{with(a, "c"), b}, left: 1},
-		"old-and-settled":            {successors: []Successor{successor(a, "c", 3*time.Second)}, targets: []Target{a, b}, settled: true, want: []Target{b}, left: 1},
+		"none":                      {targets: []Target{a, b}, want: []Target{a, b}},
+		"replaced-in-place":         {successors: []Successor{successor(a, "c", 0)}, targets: []Target{a, b}, want: []Target{replacedBy(a, "c"), b}, remaining: 1},
+		"of-a-successor":            {successors: []Successor{successor(a, "c", time.Second), successor(replacedBy(a, "c"), "d", 0)}, targets: []Target{a, b}, want: []Target{replacedBy(a, "d"), b}, remaining: 1},
+		"older-one-is-ignored":      {successors: []Successor{successor(a, "c", 0), successor(a, "d", time.Second)}, targets: []Target{a}, want: []Target{replacedBy(a, "c")}, remaining: 1},
+		"listed-itself":             {successors: []Successor{successor(a, "b", 0)}, targets: []Target{a, b}, want: []Target{b}, remaining: 1},
+		"listed-and-then-removed":   {successors: []Successor{successor(a, "c", 0)}, before: []Target{a, replacedBy(a, "c")}, targets: []Target{a, b}, want: []Target{b}, remaining: 1},
+		"predecessor-removed":       {successors: []Successor{successor(a, "c", 0)}, targets: []Target{b}, want: []Target{b}},
+		"predecessor-restarted":     {successors: []Successor{successor(a, "c", 0)}, targets: []Target{restarted}, want: []Target{restarted}},
+		"predecessor-moved":         {successors: []Successor{successor(a, "c", 0)}, targets: []Target{moved}, want: []Target{moved}},
+		"predecessor-was-leaving":   {successors: []Successor{successor(a, "c", 0)}, targets: []Target{leaving}, want: []Target{replacedBy(a, "c")}, remaining: 1},
+		"new-and-authoritative":     {successors: []Successor{successor(a, "c", time.Second)}, targets: []Target{a, b}, authoritative: true, want: []Target{replacedBy(a, "c"), b}, remaining: 1},
+		"old-and-not-authoritative": {successors: []Successor{successor(a, "c", time.Hour)}, targets: []Target{a, b}, want: []Target{replacedBy(a, "c"), b}, remaining: 1},
+		"old-and-authoritative":     {successors: []Successor{successor(a, "c", 3*time.Second)}, targets: []Target{a, b}, authoritative: true, want: []Target{b}, remaining: 1},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			var h Successors
+			var set Successors
 			for _, next := range test.successors {
-				h, _ = h.WithSuccessor(next)
+				set, _ = set.WithSuccessor(next)
 			}
 			if test.before != nil {
-				_, h = h.Apply(test.before, now, test.settled)
+				_, set = set.Apply(test.before, now, test.authoritative)
 			}
-			got, left := h.Apply(test.targets, now, test.settled)
+			got, remaining := set.Apply(test.targets, now, test.authoritative)
 			c.Assert(got, quicktest.DeepEquals, test.want)
-			c.Assert(left.Len(), quicktest.Equals, test.left)
+			c.Assert(remaining.Len(), quicktest.Equals, test.remaining)
 		})
 	}
 }
@@ -70,7 +70,7 @@
 		want     bool
 	}{
 		"same":                {old, old, true},
-		"started-again":       {old, Target{Name: "a", Address: "1", Started: 8}, false},
+		"restarted":           {old, Target{Name: "a", Address: "1", Started: 8}, false},
 		"moved":               {old, Target{Name: "a", Address: "2", Started: 7}, false},
 		"start-becomes-known": {Target{Name: "a", Address: "1"}, old, true},
 		"another":             {old, Target{Name: "b", Address: "1", Started: 7}, false},
--- a/core/site/target.go
+++ b/core/site/target.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// Target is one server of a service as it declares itself.
+// Target is one server of a service, as it declares itself.
 type Target struct {
 	Name     string // Name is the target's id, by which a request is addressed to it.
 	Service  string
 	Address  string
 	Domain   string
 	Slots    int
-	Leaving  bool  // Leaving targets get no new work.
-	Started  int64 // Started tells one start of a target from the next under the same name; 0 is not known yet.
+	Leaving  bool  // Leaving targets are draining and get no new work.
+	Started  int64 // Started differs between two starts of a target under the same name; 0 is not known yet.
 	Revision uint64
 }
 
-// Follows tells whether a target is the same start of the same target as an older one, as far as both are known.
+// Follows reports whether t is a later declaration of old that has not restarted or moved since.
+// If old's start is unknown, any start matches.
 func (t Target) Follows(old Target) bool {
 	return t.Name == old.Name && t.Address == old.Address && (t.Started == old.Started || old.Started == 0)
 }
 
-// Roster is what is known of all targets; its values are never changed after construction.
+// Roster is the set of known targets. It is immutable.
 type Roster struct {
-	targets  map[string]Target
-	lapsed   map[string]time.Time
-	services map[string][]Target
+	targets            map[string]Target // By name.
+	missingSince       map[string]time.Time
+	availableByService map[string][]Target
 }
 
-// All returns every target in no order.
+// All returns all targets in no particular order.
 func (r *Roster) All() []Target {
 	return slices.Collect(maps.Values(r.targets))
 }
@@ -47,83 +48,85 @@
 	return len(r.targets)
 }
 
-// Open returns the targets of a service that take new work.
+// Open returns the targets of a service that are not draining, sorted by name.
 func (r *Roster) Open(service string) []Target {
-	return r.services[service]
+	return r.availableByService[service]
 }
 
-// WithTargets returns a roster of the given targets; those that are missing stay until keep has passed since they were missed first.
-func (r *Roster) WithTargets(targets []Target, now time.Time, keep time.Duration) *Roster {
+// WithTargets returns a roster of the given targets.
+// A target that only r has is kept until the retention time has passed since it was first missing.
+func (r *Roster) WithTargets(targets []Target, now time.Time, retention time.Duration) *Roster {
 	next := &Roster{
-		targets:  make(map[string]Target, len(targets)),
-		lapsed:   make(map[string]time.Time),
-		services: make(map[string][]Target),
+		targets:            make(map[string]Target, len(targets)),
+		missingSince:       make(map[string]time.Time),
+		availableByService: make(map[string][]Target),
 	}
-	for _, t := range newest(targets) {
+	for _, t := range newestByAddress(targets) {
 		next.targets[t.Name] = t
 	}
-	if r != nil && keep > 0 {
-		next.carry(r, now, keep)
+	if r != nil && retention > 0 {
+		next.retainMissing(r, now, retention)
 	}
 	for _, t := range next.targets {
 		if !t.Leaving {
-			next.services[t.Service] = append(next.services[t.Service], t)
+			next.availableByService[t.Service] = append(next.availableByService[t.Service], t)
 		}
 	}
-	for _, open := range next.services {
-		slices.SortFunc(open, func(a, b Target) int { return cmp.Compare(a.Name, b.Name) })
+	for _, available := range next.availableByService {
+		slices.SortFunc(available, func(a, b Target) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	return next
 }
 
-// Lapsed tells whether targets are kept that are no longer listed.
+// Lapsed reports whether the roster keeps targets that are no longer listed.
 func (r *Roster) Lapsed() bool {
-	return len(r.lapsed) > 0
+	return len(r.missingSince) > 0
 }
 
-// Moved returns the names of targets that are gone, started again or took another address since an older roster.
+// Moved returns the names of old's targets that were removed, restarted or took another address since.
 func (r *Roster) Moved(old *Roster) map[string]bool {
-	moved := make(map[string]bool)
+	ended := make(map[string]bool)
 	if old == nil {
-		return moved
+		return ended
 	}
-	for name, was := range maps.All(old.targets) {
-		is, ok := r.targets[name]
-		if !ok || !is.Follows(was) {
-			moved[name] = true
+	for name, before := range maps.All(old.targets) {
+		current, ok := r.targets[name]
+		if !ok || !current.Follows(before) {
+			ended[name] = true
 		}
 	}
-	return moved
+	return ended
 }
 
-// carry keeps targets of an older roster that were missed only lately and whose address nobody else has.
-func (r *Roster) carry(old *Roster, now time.Time, keep time.Duration) {
-	taken := make(map[string]bool, len(r.targets))
+// retainMissing adds those targets of an older roster that are not draining, went missing less than the
+// retention time ago and whose address no listed target uses.
+func (r *Roster) retainMissing(old *Roster, now time.Time, retention time.Duration) {
+	usedAddresses := make(map[string]bool, len(r.targets))
 	for _, t := range r.targets {
-		taken[t.Address] = true
+		usedAddresses[t.Address] = true
 	}
 	for name, t := range old.targets {
-		if _, listed := r.targets[name]; listed || taken[t.Address] || t.Leaving {
+		if _, listed := r.targets[name]; listed || usedAddresses[t.Address] || t.Leaving {
 			continue
 		}
-		since, ok := old.lapsed[name]
+		since, ok := old.missingSince[name]
 		if !ok {
 			since = now
 		}
-		if now.Sub(since) < keep {
+		if now.Sub(since) < retention {
 			r.targets[name] = t
-			r.lapsed[name] = since
+			r.missingSince[name] = since
 		}
 	}
 }
 
-// newest returns the targets without those whose address a newer one has: a target that started again under another name.
-func newest(targets []Target) []Target {
-	holder := make(map[string]Target, len(targets))
+// newestByAddress returns the newest target at each address: a target may restart there under another name.
+func newestByAddress(targets []Target) []Target {
+	byAddress := make(map[string]Target, len(targets))
 	for _, t := range targets {
-		if other, taken := holder[t.Address]; !taken || t.Revision > other.Revision {
-			holder[t.Address] = t
+		if other, known := byAddress[t.Address]; !known || t.Revision > other.Revision {
+			byAddress[t.Address] = t
 		}
 	}
-	return slices.Collect(maps.Values(holder))
+	return slices.Collect(maps.Values(byAddress))
 }
