--- a/core/sheet/diff.go
+++ b/core/sheet/diff.go
@@ -7,7 +7,7 @@
 	"bramleywharf.example/core/conf"
 )
 
-// Change is the sealed set of differences between two sheets: Added, Removed and Altered.
+// Change is one difference between two sheets. It is a sealed interface: Added, Removed and Altered implement it.
 type Change interface {
 	isChange()
 	// String describes the change in one line.
@@ -36,50 +36,50 @@
 
 // String describes the addition.
 func (a Added) String() string {
-	return fmt.Sprintf("+ %s: %s", a.Limit.Organisation, describe(a.Limit))
+	return fmt.Sprintf("+ %s: %s", a.Limit.Organisation, formatLimit(a.Limit))
 }
 
 // String describes the removal.
 func (r Removed) String() string {
-	return fmt.Sprintf("- %s: %s", r.Limit.Organisation, describe(r.Limit))
+	return fmt.Sprintf("- %s: %s", r.Limit.Organisation, formatLimit(r.Limit))
 }
 
 // String describes the alteration.
 func (a Altered) String() string {
-	return fmt.Sprintf("~ %s: %s -> %s", a.New.Organisation, describe(a.Old), describe(a.New))
+	return fmt.Sprintf("~ %s: %s -> %s", a.New.Organisation, formatLimit(a.Old), formatLimit(a.New))
 }
 
-// Diff returns the changes from one sheet to another, in order of organisation.
+// Diff returns the changes from one sheet to another, sorted by organisation.
 func Diff(from, to conf.Sheet) []Change {
 	older := byOrganisation(from)
 	newer := byOrganisation(to)
 	var names []string
-	for n := range older {
-		names = append(names, n)
+	for name := range older {
+		names = append(names, name)
 	}
-	for n := range newer {
-		if _, both := older[n]; !both {
-			names = append(names, n)
+	for name := range newer {
+		if _, known := older[name]; !known {
+			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	var changes []Change
-	for _, n := range names {
-		o, hadOld := older[n]
-		l, hasNew := newer[n]
+	for _, name := range names {
+		oldLimit, inOlder := older[name]
+		newLimit, inNewer := newer[name]
 		switch {
-		case !hadOld:
-			changes = append(changes, Added{Limit: l})
-		case !hasNew:
-			changes = append(changes, Removed{Limit: o})
-		case describe(o) != describe(l):
-			changes = append(changes, Altered{Old: o, New: l})
+		case !inOlder:
+			changes = append(changes, Added{Limit: newLimit})
+		case !inNewer:
+			changes = append(changes, Removed{Limit: oldLimit})
+		case formatLimit(oldLimit) != formatLimit(newLimit):
+			changes = append(changes, Altered{Old: oldLimit, New: newLimit})
 		}
 	}
 	return changes
 }
 
-// byOrganisation indexes a sheet's limits.
+// byOrganisation returns a sheet's limits by organisation.
 func byOrganisation(s conf.Sheet) map[string]conf.Limit {
 	index := make(map[string]conf.Limit, len(s.Limits))
 	for _, l := range s.Limits {
@@ -88,8 +88,8 @@
 	return index
 }
 
-// describe writes a limit in one line.
-func describe(l conf.Limit) string {
+// formatLimit formats a limit as one line.
+func formatLimit(l conf.Limit) string {
 	return fmt.Sprintf("share %g, priority %d, ceiling %d, models %v, recovery %s",
 		l.Share, l.Priority, l.Ceiling, l.Models, l.Recovery)
 }
--- a/core/sheet/parse.go
+++ b/core/sheet/parse.go
@@ -24,26 +24,26 @@
 	ColumnRecovery     = "recovery"
 )
 
-// The marks of a sheet's first and last row: the first names the date, the last the number of rows.
+// The first cells of a sheet's first and last row, which hold its date and its number of organisations.
 const (
-	dateMark = "sheet-date"
-	endMark  = "end"
+	dateLabel = "sheet-date"
+	endLabel  = "end"
 )
 
-// MaxSize bounds the text of a sheet, in bytes, so that its object stays under the platform's 1 MiB.
+// MaxSize is the most bytes of a sheet's text; it keeps the stored object under the platform's limit of 1 MiB.
 const MaxSize = 512 << 10
 
-// maxShares bounds the sum of the shares, with room for rounding in the export.
-const maxShares = 100.0001
+// maxShareSum is 100 with room for rounding in the spreadsheet's export.
+const maxShareSum = 100.0001
 
-// Fault is one thing wrong with a sheet, by row and column counted from 1; 0 stands for the sheet as a whole.
+// Fault is one error in a sheet.
 type Fault struct {
-	Row    int
-	Column string
+	Row    int    // Row counts from 1; 0 stands for the sheet as a whole.
+	Column string // Column is empty if the fault concerns a whole row.
 	Reason string
 }
 
-// Error describes the fault with its place.
+// Error returns the reason, preceded by the row and column if they are known.
 func (f Fault) Error() string {
 	switch {
 	case f.Row == 0:
@@ -55,199 +55,201 @@
 	}
 }
 
-// columns lists the columns that a sheet must have, in the order of the documentation.
-func columns() []string {
+// requiredColumns lists the columns that a sheet must have, in the order of the documentation.
+func requiredColumns() []string {
 	return []string{ColumnOrganisation, ColumnShare, ColumnPriority, ColumnCeiling, ColumnModels, ColumnRecovery}
 }
 
-// parser collects the faults of one sheet.
+// parser holds the state of parsing one sheet and the faults found so far.
 type parser struct {
-	positions map[string]int
-	faults    []Fault
-	seen      map[string]int
-	sum       float64
+	columnIndex       map[string]int // By column name, counted from 0.
+	faults            []Fault
+	rowByOrganisation map[string]int
+	shareSum          float64
 }
 
-// Parse reads a sheet; known tells which organisations exist. It returns every fault found.
-func Parse(text []byte, known func(string) bool) (conf.Sheet, []Fault) {
+// Parse reads a sheet and returns either the sheet or every fault found.
+// exists reports whether an organisation is declared.
+func Parse(text []byte, exists func(string) bool) (conf.Sheet, []Fault) {
 	if len(text) > MaxSize {
 		return conf.Sheet{}, []Fault{{Reason: fmt.Sprintf("sheet has %d bytes, over %d", len(text), MaxSize)}}
 	}
-	rows, err := read(text)
+	rows, err := readRows(text)
 	if err != nil {
 		return conf.Sheet{}, []Fault{{Reason: err.Error()}}
 	}
-	p := &parser{seen: make(map[string]int)}
-	s := p.sheet(rows, known)
+	p := &parser{rowByOrganisation: make(map[string]int)}
+	s := p.sheet(rows, exists)
 	if len(p.faults) > 0 {
 		return conf.Sheet{}, p.faults
 	}
 	return s, nil
 }
 
-// read splits the text into rows, whatever spreadsheet wrote it.
-func read(text []byte) ([][]string, error) {
+// readRows splits the text into rows of cells and drops empty rows at the end.
+// It takes semicolons for the separator if the first line has more of them than commas.
+func readRows(text []byte) ([][]string, error) {
 	text = bytes.TrimPrefix(text, []byte("\uFEFF"))
-	first, _, _ := bytes.Cut(text, []byte("\n"))
+	firstLine, _, _ := bytes.Cut(text, []byte("\n"))
 	reader := csv.NewReader(bytes.NewReader(text))
 	reader.FieldsPerRecord = -1
-	if bytes.Count(first, []byte(";")) > bytes.Count(first, []byte(",")) {
+	if bytes.Count(firstLine, []byte(";")) > bytes.Count(firstLine, []byte(",")) {
 		reader.Comma = ';'
 	}
 	rows, err := reader.ReadAll()
 	if err != nil {
 		return nil, fmt.Errorf("read CSV: %w", err)
 	}
-	for len(rows) > 0 && empty(rows[len(rows)-1]) {
+	for len(rows) > 0 && isEmptyRow(rows[len(rows)-1]) {
 		rows = rows[:len(rows)-1]
 	}
 	return rows, nil
 }
 
-// empty tells whether no cell of a row holds anything, as in the last rows that spreadsheets export.
-func empty(row []string) bool {
+// isEmptyRow reports whether all cells are blank, as in the last rows that spreadsheets export.
+func isEmptyRow(row []string) bool {
 	return !slices.ContainsFunc(row, func(cell string) bool { return strings.TrimSpace(cell) != "" })
 }
 
-// fault notes a fault.
-func (p *parser) fault(row int, column, format string, args ...any) {
+// addFault records a fault.
+func (p *parser) addFault(row int, column, format string, args ...any) {
 	p.faults = append(p.faults, Fault{Row: row, Column: column, Reason: fmt.Sprintf(format, args...)})
 }
 
-// header finds the position of each column.
-func (p *parser) header(row []string) bool {
-	p.positions = make(map[string]int)
+// readHeader finds the index of each column and reports whether the sheet has no fault so far.
+func (p *parser) readHeader(row []string) bool {
+	p.columnIndex = make(map[string]int)
 	for i, name := range row {
 		name = strings.TrimSpace(name)
-		if _, twice := p.positions[name]; twice && name != "" {
-			p.fault(2, name, "column stands twice")
+		if _, duplicate := p.columnIndex[name]; duplicate && name != "" {
+			p.addFault(2, name, "column stands twice")
 		}
-		p.positions[name] = i
+		p.columnIndex[name] = i
 	}
-	for _, name := range columns() {
-		if _, ok := p.positions[name]; !ok {
-			p.fault(2, name, "column is missing")
+	for _, name := range requiredColumns() {
+		if _, ok := p.columnIndex[name]; !ok {
+			p.addFault(2, name, "column is missing")
 		}
 	}
 	return len(p.faults) == 0
 }
 
-// limit reads one row.
-func (p *parser) limit(number int, row []string, known func(string) bool) conf.Limit {
+// limit reads the row of one organisation.
+func (p *parser) limit(rowNumber int, row []string, exists func(string) bool) conf.Limit {
 	cell := func(column string) string {
-		at := p.positions[column]
-		if at >= len(row) {
-			p.fault(number, column, "cell is missing; the row has %d cells", len(row))
+		index := p.columnIndex[column]
+		if index >= len(row) {
+			p.addFault(rowNumber, column, "cell is missing; the row has %d cells", len(row))
 			return ""
 		}
-		return strings.TrimSpace(row[at])
+		return strings.TrimSpace(row[index])
 	}
 	l := conf.Limit{
 		Organisation: cell(ColumnOrganisation),
 		Models:       strings.Fields(cell(ColumnModels)),
 		Recovery:     cell(ColumnRecovery),
 	}
-	p.organisation(number, l.Organisation, known)
-	l.Share = p.share(number, cell(ColumnShare))
-	l.Priority = p.whole(number, ColumnPriority, cell(ColumnPriority), 0)
-	l.Ceiling = p.whole(number, ColumnCeiling, cell(ColumnCeiling), 1)
+	p.checkOrganisation(rowNumber, l.Organisation, exists)
+	l.Share = p.share(rowNumber, cell(ColumnShare))
+	l.Priority = p.integer(rowNumber, ColumnPriority, cell(ColumnPriority), 0)
+	l.Ceiling = p.integer(rowNumber, ColumnCeiling, cell(ColumnCeiling), 1)
 	if len(l.Models) == 0 {
-		p.fault(number, ColumnModels, "no model is named; write them with spaces between")
+		p.addFault(rowNumber, ColumnModels, "no model is named; write them with spaces between")
 	}
 	if _, ok := flow.ParsePolicy(l.Recovery); !ok {
-		p.fault(number, ColumnRecovery, "%q is not latency, thrift or restart", l.Recovery)
+		p.addFault(rowNumber, ColumnRecovery, "%q is not latency, thrift or restart", l.Recovery)
 	}
 	return l
 }
 
-// organisation checks that a name is known and stands once.
-func (p *parser) organisation(number int, name string, known func(string) bool) {
-	if first, twice := p.seen[name]; twice {
-		p.fault(number, ColumnOrganisation, "%q stands in row %d already", name, first)
+// checkOrganisation checks that an organisation exists and has no earlier row.
+func (p *parser) checkOrganisation(rowNumber int, name string, exists func(string) bool) {
+	if firstRow, duplicate := p.rowByOrganisation[name]; duplicate {
+		p.addFault(rowNumber, ColumnOrganisation, "%q stands in row %d already", name, firstRow)
 	}
-	p.seen[name] = number
-	if !known(name) {
-		p.fault(number, ColumnOrganisation, "%q is not a known organisation", name)
+	p.rowByOrganisation[name] = rowNumber
+	if !exists(name) {
+		p.addFault(rowNumber, ColumnOrganisation, "%q is not a known organisation", name)
 	}
 }
 
 // share reads a share with a decimal point or comma.
-func (p *parser) share(number int, text string) float64 {
+func (p *parser) share(rowNumber int, text string) float64 {
 	share, err := strconv.ParseFloat(strings.Replace(text, ",", ".", 1), 64)
 	if err != nil || !(share > 0 && share <= 100) {
-		p.fault(number, ColumnShare, "%q is not a number above 0 and at most 100", text)
+		p.addFault(rowNumber, ColumnShare, "%q is not a number above 0 and at most 100", text)
 		return 0
 	}
-	p.sum += share
+	p.shareSum += share
 	return share
 }
 
-// sheet reads the rows between the date row and the end row.
-func (p *parser) sheet(rows [][]string, known func(string) bool) conf.Sheet {
+// sheet reads all rows of a sheet.
+func (p *parser) sheet(rows [][]string, exists func(string) bool) conf.Sheet {
 	if len(rows) < 3 {
-		p.fault(0, "", "sheet is truncated: it needs a %s row, a header and an %s row", dateMark, endMark)
+		p.addFault(0, "", "sheet is truncated: it needs a %s row, a header and an %s row", dateLabel, endLabel)
 		return conf.Sheet{}
 	}
 	s := conf.Sheet{Date: p.date(rows[0])}
-	if !p.header(rows[1]) {
+	if !p.readHeader(rows[1]) {
 		return conf.Sheet{}
 	}
 	last := len(rows) - 1
 	for i := 2; i < last; i++ {
-		if empty(rows[i]) {
-			p.fault(i+1, "", "row is empty")
+		if isEmptyRow(rows[i]) {
+			p.addFault(i+1, "", "row is empty")
 			continue
 		}
-		s.Limits = append(s.Limits, p.limit(i+1, rows[i], known))
+		s.Limits = append(s.Limits, p.limit(i+1, rows[i], exists))
 	}
-	p.end(last+1, rows[last], len(s.Limits))
-	if p.sum > maxShares {
-		p.fault(0, "", "shares sum to %g, over 100", p.sum)
+	p.checkEnd(last+1, rows[last], len(s.Limits))
+	if p.shareSum > maxShareSum {
+		p.addFault(0, "", "shares sum to %g, over 100", p.shareSum)
 	}
 	return s
 }
 
-// date reads the first row.
+// date reads the date from the first row.
 func (p *parser) date(row []string) string {
-	if len(row) < 2 || strings.TrimSpace(row[0]) != dateMark {
-		p.fault(1, "", "first row must be %s and the date", dateMark)
+	if len(row) < 2 || strings.TrimSpace(row[0]) != dateLabel {
+		p.addFault(1, "", "first row must be %s and the date", dateLabel)
 		return ""
 	}
 	date := strings.TrimSpace(row[1])
 	if _, err := time.Parse(time.DateOnly, date); err != nil {
-		p.fault(1, dateMark, "%q is not a date as YYYY-MM-DD", date)
+		p.addFault(1, dateLabel, "%q is not a date as YYYY-MM-DD", date)
 	}
 	return date
 }
 
-// end checks the last row, which shows that the sheet is not truncated.
-func (p *parser) end(number int, row []string, count int) {
-	if len(row) < 2 || strings.TrimSpace(row[0]) != endMark {
-		p.fault(number, "", "sheet is truncated: last row must be %s and the number of organisations", endMark)
+// checkEnd checks the number of organisations in the last row, to detect truncated sheets.
+func (p *parser) checkEnd(rowNumber int, row []string, organisationCount int) {
+	if len(row) < 2 || strings.TrimSpace(row[0]) != endLabel {
+		p.addFault(rowNumber, "", "sheet is truncated: last row must be %s and the number of organisations", endLabel)
 		return
 	}
 	stated, err := strconv.Atoi(strings.TrimSpace(row[1]))
-	if err != nil || stated != count {
-		p.fault(number, endMark, "%q organisations are stated, %d are there", row[1], count)
+	if err != nil || stated != organisationCount {
+		p.addFault(rowNumber, endLabel, "%q organisations are stated, %d are there", row[1], organisationCount)
 	}
 }
 
-// whole reads a whole number.
-func (p *parser) whole(number int, column, text string, least int) int {
+// integer reads a whole number from minimum to 1000000.
+func (p *parser) integer(rowNumber int, column, text string, minimum int) int {
 	n, err := strconv.Atoi(text)
-	if err != nil || n < least || n > 1_000_000 {
-		p.fault(number, column, "%q is not a whole number from %d to 1000000", text, least)
+	if err != nil || n < minimum || n > 1_000_000 {
+		p.addFault(rowNumber, column, "%q is not a whole number from %d to 1000000", text, minimum)
 	}
 	return n
 }
 
-// ErrOlder is returned for a sheet dated before the one that stands.
+// ErrOlder is returned for a sheet whose date is before the current sheet's.
 var ErrOlder = errors.New("sheet is older than the one that stands")
 
-// Admit decides whether a sheet may replace the one that stands.
-func Admit(standing, next conf.Sheet) error {
-	if next.Date < standing.Date {
-		return fmt.Errorf("%s before %s: %w", next.Date, standing.Date, ErrOlder)
+// Admit returns an error if the next sheet may not replace the current one.
+func Admit(current, next conf.Sheet) error {
+	if next.Date < current.Date {
+		return fmt.Errorf("%s before %s: %w", next.Date, current.Date, ErrOlder)
 	}
 	return nil
 }
