--- a/core/conf/main_test.go
+++ b/core/conf/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests, so that every run reaches the same verdict; -rapid.seed sets another.
+// TestMain fixes the seed of property tests, so that every run gives the same result; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
--- a/core/conf/snapshot.go
+++ b/core/conf/snapshot.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Revision counts the writes of the platform's object API; 0 means nothing is known.
+// Revision is a revision of the platform's object API, which each write increases; 0 means that none is known.
 type Revision uint64
 
 // Key names one configuration object by its kind and name.
@@ -23,13 +23,13 @@
 	Raw      []byte // Raw is the stored encoding, passed on to peers unchanged.
 }
 
-// Snapshot is the whole configuration up to one revision; its values are never changed after construction.
+// Snapshot is the whole configuration up to one revision. It is immutable.
 type Snapshot struct {
-	revision Revision
-	entries  map[Key]Entry
-	limits   map[string]Limit
-	members  map[string]string
-	callers  map[string]string
+	revision              Revision
+	entries               map[Key]Entry
+	limitByOrganisation   map[string]Limit
+	memberByOrganisation  map[string]string
+	organisationByKeyHash map[string]string
 }
 
 // NewSnapshot returns an empty snapshot at revision 0.
@@ -37,13 +37,13 @@
 	return &Snapshot{}
 }
 
-// Caller returns the organisation whose key has a hash.
+// Caller returns the organisation whose key has the given hash.
 func (s *Snapshot) Caller(keyHash string) (string, bool) {
-	name, ok := s.callers[keyHash]
+	name, ok := s.organisationByKeyHash[keyHash]
 	return name, ok
 }
 
-// Entries returns every entry changed after the given revision, deletions included, in order of revision.
+// Entries returns the entries changed after a revision, including deleted ones, sorted by revision.
 func (s *Snapshot) Entries(after Revision) []Entry {
 	var changed []Entry
 	for _, e := range s.entries {
@@ -57,10 +57,10 @@
 	return changed
 }
 
-// Limit returns the voted limit of an organisation and the member whose sheet carries it.
+// Limit returns the limit of an organisation and the member whose sheet sets it.
 func (s *Snapshot) Limit(organisation string) (Limit, string, bool) {
-	l, ok := s.limits[organisation]
-	return l, s.members[organisation], ok
+	l, ok := s.limitByOrganisation[organisation]
+	return l, s.memberByOrganisation[organisation], ok
 }
 
 // Model returns the declaration of a model.
@@ -75,9 +75,9 @@
 	return o, ok
 }
 
-// Organisations returns the names of all organisations that a sheet gives a limit, sorted.
+// Organisations returns the names of all organisations that have a limit, sorted.
 func (s *Snapshot) Organisations() []string {
-	return slices.Sorted(maps.Keys(s.limits))
+	return slices.Sorted(maps.Keys(s.limitByOrganisation))
 }
 
 // Revision returns the platform revision up to which the snapshot is complete.
@@ -91,7 +91,7 @@
 	return v, ok
 }
 
-// Sheet returns the standing sheet of a member.
+// Sheet returns the current sheet of a member.
 func (s *Snapshot) Sheet(member string) (Sheet, bool) {
 	v, ok := s.value(KindSheet, member).(Sheet)
 	return v, ok
@@ -126,7 +126,8 @@
 	return targets
 }
 
-// WithChanges returns a snapshot complete up to the revision, with the newer of each entry kept; an older revision returns the receiver.
+// WithChanges returns a snapshot complete up to a revision; of each entry it keeps the newer version.
+// It returns the receiver if the revision is not newer.
 func (s *Snapshot) WithChanges(revision Revision, changes []Entry) *Snapshot {
 	if revision <= s.revision {
 		return s
@@ -141,37 +142,37 @@
 		}
 		next.entries[e.Key] = e
 	}
-	next.index()
+	next.buildIndexes()
 	return next
 }
 
-// index fills the look-up tables of a snapshot under construction.
-func (s *Snapshot) index() {
-	s.limits = make(map[string]Limit)
-	s.members = make(map[string]string)
-	s.callers = make(map[string]string)
+// buildIndexes fills the indexes of a snapshot under construction.
+func (s *Snapshot) buildIndexes() {
+	s.limitByOrganisation = make(map[string]Limit)
+	s.memberByOrganisation = make(map[string]string)
+	s.organisationByKeyHash = make(map[string]string)
 	for _, e := range s.entries {
 		if e.Deleted {
 			continue
 		}
 		switch v := e.Value.(type) {
 		case Organisation:
-			s.callers[v.KeyHash] = e.Key.Name
+			s.organisationByKeyHash[v.KeyHash] = e.Key.Name
 		case Sheet:
 			s.indexSheet(e.Key.Name, v)
 		}
 	}
 }
 
-// indexSheet adds a member's limits to the look-up tables.
+// indexSheet adds the limits of a member's sheet to the indexes.
 func (s *Snapshot) indexSheet(member string, sheet Sheet) {
 	for _, l := range sheet.Limits {
-		s.limits[l.Organisation] = l
-		s.members[l.Organisation] = member
+		s.limitByOrganisation[l.Organisation] = l
+		s.memberByOrganisation[l.Organisation] = member
 	}
 }
 
-// value returns the live value of an entry, or nil.
+// value returns the value of an entry, or nil if it is missing or deleted.
 func (s *Snapshot) value(kind, name string) Value {
 	e, ok := s.entries[Key{Kind: kind, Name: name}]
 	if !ok || e.Deleted {
--- a/core/conf/snapshot_test.go
+++ b/core/conf/snapshot_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSnapshotNeverReverts checks that no page, however old, doubled or late, lowers an entry or the revision.
+// TestSnapshotNeverReverts checks that a page that is old, repeated or out of order never lowers the revision of
+// the snapshot or of an entry.
 func TestSnapshotNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewSnapshot()
@@ -23,8 +24,8 @@
 				t.Fatalf("revision fell from %d to %d", s.Revision(), next.Revision())
 			}
 			for _, old := range s.Entries(0) {
-				if now := next.entries[old.Key]; now.Revision < old.Revision {
-					t.Fatalf("%v fell from %d to %d", old.Key, old.Revision, now.Revision)
+				if current := next.entries[old.Key]; current.Revision < old.Revision {
+					t.Fatalf("%v fell from %d to %d", old.Key, old.Revision, current.Revision)
 				}
 			}
 			s = next
@@ -39,12 +40,12 @@
 		want                    bool
 	}{
 		"whole-model":     {"m", "x", "1", true},
-		"its-adapter":     {"n", "a", "1", true},
+		"granted-adapter": {"n", "a", "1", true},
 		"other-adapter":   {"n", "b", "1", false},
 		"base-of-adapter": {"n", "", "1", false},
-		"its-version":     {"o", "b", "2", true},
+		"granted-version": {"o", "b", "2", true},
 		"other-version":   {"o", "b", "1", false},
-		"unknown":         {"p", "", "", false},
+		"unknown-model":   {"p", "", "", false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,21 +57,21 @@
 func TestServiceCall(t *testing.T) {
 	s := Service{Calls: []ServiceCall{{Method: "POST", Path: "/orders", NonIdempotent: true}, {Method: "POST", Path: "/orders/quotes"}}}
 	cases := map[string]struct {
-		method, path string
-		found, once  bool
+		method, path         string
+		found, nonIdempotent bool
 	}{
-		"exact":         {"POST", "/orders", true, true},
-		"below":         {"POST", "/orders/7", true, true},
-		"longest":       {"POST", "/orders/quotes/7", true, false},
-		"other-method":  {"GET", "/orders", false, false},
-		"not-at-border": {"POST", "/ordersx", false, false},
+		"exact":        {"POST", "/orders", true, true},
+		"below-path":   {"POST", "/orders/7", true, true},
+		"longest-path": {"POST", "/orders/quotes/7", true, false},
+		"other-method": {"GET", "/orders", false, false},
+		"not-at-slash": {"POST", "/ordersx", false, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			call, found := s.Call(test.method, test.path)
 			c.Assert(found, quicktest.Equals, test.found)
-			c.Assert(call.NonIdempotent, quicktest.Equals, test.once)
+			c.Assert(call.NonIdempotent, quicktest.Equals, test.nonIdempotent)
 		})
 	}
 }
--- a/core/conf/value.go
+++ b/core/conf/value.go
@@ -14,7 +14,8 @@
 	return []string{KindModel, KindOrganisation, KindService, KindSheet, KindTarget}
 }
 
-// Value is the sealed set of configuration values: Model, Organisation, Service, Sheet and Target.
+// Value is the value of a configuration object.
+// It is a sealed interface: Model, Organisation, Service, Sheet and Target implement it.
 type Value interface {
 	isValue()
 }
@@ -31,7 +32,7 @@
 	KeyHash string `json:"key-hash"`
 }
 
-// Service declares a plain service and the calls that must run at most once.
+// Service declares a plain service, which has no model engines, and its calls.
 type Service struct {
 	Calls []ServiceCall `json:"calls"`
 }
@@ -40,36 +41,44 @@
 type ServiceCall struct {
 	Method        string `json:"method"`
 	Path          string `json:"path"`
-	NonIdempotent bool   `json:"non-idempotent"`
-	StatusPath    string `json:"status-path,omitempty"` // StatusPath settles an unknown outcome; {key} stands for the key.
+	NonIdempotent bool   `json:"non-idempotent"` // NonIdempotent calls must run at most once.
+	// StatusPath tells the outcome of an earlier call; {key} stands for the key of that call.
+	StatusPath string `json:"status-path,omitempty"`
 }
 
-// Sheet is a member's standing configuration for the day.
+// Sheet sets the limits of a member's organisations.
 type Sheet struct {
-	Date   string  `json:"date"` // Date is the planners' export date, as YYYY-MM-DD.
+	Date   string  `json:"date"` // Date is the day of the planners' export, as YYYY-MM-DD.
 	Limits []Limit `json:"limits"`
 }
 
-// Limit is one row of a sheet: the limits voted for an organisation.
+// Limit is one row of a sheet: the limits of an organisation.
 type Limit struct {
-	Organisation string   `json:"organisation"`
-	Share        float64  `json:"share"`    // Share is a weight above 0; a member's shares sum to at most 100.
-	Priority     int      `json:"priority"` // Priority is passed to engines; a higher one goes first.
-	Ceiling      int      `json:"ceiling"`  // Ceiling bounds generations running at once over the whole fleet.
-	Models       []string `json:"models"`   // Models lists what may be used, each as model, model/adapter or model/adapter@version.
-	Recovery     string   `json:"recovery"` // Recovery is latency, thrift or restart.
+	Organisation string `json:"organisation"`
+	// Share is a weight above 0; a member's shares sum to at most 100.
+	Share float64 `json:"share"`
+	// Priority is passed to engines; a higher one is served first.
+	Priority int `json:"priority"`
+	// Ceiling is the most generations running at once in the whole fleet.
+	Ceiling int `json:"ceiling"`
+	// Models lists the permitted models, each as model, model/adapter or model/adapter@version.
+	Models []string `json:"models"`
+	// Recovery is latency, thrift or restart.
+	Recovery string `json:"recovery"`
 }
 
-// Target declares one model engine or plain service instance.
+// Target declares one model engine or one server of a plain service.
 type Target struct {
-	Name           string   `json:"-"`
-	Address        string   `json:"address"`
-	Domain         string   `json:"failure-domain"`
-	Models         []string `json:"models,omitempty"`
-	Service        string   `json:"service,omitempty"`
-	Leaving        bool     `json:"leaving,omitempty"`
-	IgnoresFencing bool     `json:"ignores-fencing,omitempty"` // IgnoresFencing marks engines that take orders with old fencing numbers.
-	Slots          int      `json:"slots,omitempty"`           // Slots is the number of generations an engine batches at once.
+	Name    string   `json:"-"`
+	Address string   `json:"address"`
+	Domain  string   `json:"failure-domain"`
+	Models  []string `json:"models,omitempty"`
+	Service string   `json:"service,omitempty"`
+	Leaving bool     `json:"leaving,omitempty"` // Leaving targets are draining and get no new work.
+	// IgnoresFencing marks engines that accept orders with outdated fencing numbers.
+	IgnoresFencing bool `json:"ignores-fencing,omitempty"`
+	// Slots is the number of generations that an engine runs in one batch.
+	Slots int `json:"slots,omitempty"`
 }
 
 func (Model) isValue()        {}
@@ -78,7 +87,7 @@
 func (Sheet) isValue()        {}
 func (Target) isValue()       {}
 
-// Call returns the declared call that matches a method and path, the longest path first.
+// Call returns the declared call with the method and the longest path prefix that match a request.
 func (s Service) Call(method, path string) (ServiceCall, bool) {
 	var best ServiceCall
 	found := false
@@ -93,11 +102,11 @@
 	return best, found
 }
 
-// Allows tells whether the limit lets its organisation use a model, adapter and version.
+// Allows reports whether the limit lets its organisation use a model, adapter and version.
 func (l Limit) Allows(model, adapter, version string) bool {
 	for _, grant := range l.Models {
-		m, a, v := SplitGrant(grant)
-		if m == model && (a == "" || a == adapter) && (v == "" || v == version) {
+		grantedModel, grantedAdapter, grantedVersion := SplitGrant(grant)
+		if grantedModel == model && (grantedAdapter == "" || grantedAdapter == adapter) && (grantedVersion == "" || grantedVersion == version) {
 			return true
 		}
 	}
@@ -121,7 +130,7 @@
 	return rest, "", version
 }
 
-// hasPathPrefix tells whether prefix covers path at a slash boundary.
+// hasPathPrefix reports whether path begins with prefix and the prefix ends at a slash or at the path's end.
 func hasPathPrefix(path, prefix string) bool {
 	if len(path) < len(prefix) || path[:len(prefix)] != prefix {
 		return false
