--- a/core/decl/check.go
+++ b/core/decl/check.go
@@ -11,16 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// maxShares is the sum that the shares of one sheet may reach.
-const maxShares = 100.0001
+// maxShareSum bounds the sum of the shares of one sheet: 100, with room for rounding.
+const maxShareSum = 100.0001
 
 var (
-	hashForm = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	dateForm = regexp.MustCompile(`^\d{4}-\d{2}-\d{2}$`)
-	nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
+	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	datePattern = regexp.MustCompile(`^\d{4}-\d{2}-\d{2}$`)
+	namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 )
 
-// Check returns every fault of a configuration value joined in one error, or nil.
+// Check returns the first fault found in a configuration value, or nil.
 func Check(value conf.Value) error {
 	switch v := value.(type) {
 	case conf.Model:
@@ -38,12 +38,12 @@
 	}
 }
 
-// ValidName tells whether a name may be used for a configuration object.
+// ValidName reports whether a name may be used for a configuration object.
 func ValidName(name string) bool {
-	return nameForm.MatchString(name)
+	return namePattern.MatchString(name)
 }
 
-// checkModel wants versions and a default among them.
+// checkModel requires at least one version, and a default that is one of the versions.
 func checkModel(m conf.Model) error {
 	if len(m.Versions) == 0 {
 		return errors.New("versions must name at least one version")
@@ -54,15 +54,15 @@
 	return nil
 }
 
-// checkOrganisation wants a key hash.
+// checkOrganisation requires a key hash.
 func checkOrganisation(o conf.Organisation) error {
-	if !hashForm.MatchString(o.KeyHash) {
+	if !hashPattern.MatchString(o.KeyHash) {
 		return errors.New("key-hash must be a SHA-256 hash in 64 hexadecimal digits")
 	}
 	return nil
 }
 
-// checkService wants a method and an absolute path for each call.
+// checkService requires a method and an absolute path for each call.
 func checkService(s conf.Service) error {
 	for i, c := range s.Calls {
 		if c.Method == "" || c.Path == "" || c.Path[0] != '/' {
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// checkSheet checks every row and the sum of the shares.
+// checkSheet checks the date, every row and the sum of the shares.
 func checkSheet(s conf.Sheet) error {
-	if !dateForm.MatchString(s.Date) {
+	if !datePattern.MatchString(s.Date) {
 		return errors.Errorf("date %q is not YYYY-MM-DD", s.Date)
 	}
 	seen := make(map[string]bool)
@@ -89,13 +89,13 @@
 			return fmt.Errorf("limits[%d]: %w", i, err)
 		}
 	}
-	if sum > maxShares {
+	if sum > maxShareSum {
 		return errors.Errorf("shares sum to %g, over 100", sum)
 	}
 	return nil
 }
 
-// checkLimit checks one row.
+// checkLimit checks one row of a sheet.
 func checkLimit(l conf.Limit) error {
 	if !ValidName(l.Organisation) {
 		return errors.Errorf("organisation %q is not a valid name", l.Organisation)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// checkTarget wants an address, a failure domain and one of models and service.
+// checkTarget requires an address with a port, a failure domain, and either models or a service.
 func checkTarget(t conf.Target) error {
 	if _, _, err := net.SplitHostPort(t.Address); err != nil {
 		return fmt.Errorf("address %q: %w", t.Address, err)
--- a/core/decl/doc.go
+++ b/core/decl/doc.go
@@ -1,3 +1,4 @@
-// Package decl encodes and decodes configuration: objects as the platform
-// stores them, and declaration files as operators keep them in version control.
+// Package decl encodes, decodes and checks configuration: objects as the
+// platform stores them, and declaration files that operators keep in version
+// control.
 package decl
--- a/core/decl/file.go
+++ b/core/decl/file.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// File is a declaration file: objects by name under the plural of their kind.
+// File is a declaration file; it holds the objects of each kind by name.
 type File struct {
 	Models        map[string]json.RawMessage `json:"models"`
 	Organisations map[string]json.RawMessage `json:"organisations"`
@@ -16,19 +16,20 @@
 	Targets       map[string]json.RawMessage `json:"targets"`
 }
 
-// Declared is one object of a declaration file, checked, in the encoding that the platform stores.
+// Declared is one valid object of a declaration file, in the encoding that the platform stores.
 type Declared struct {
 	Key conf.Key
 	Raw json.RawMessage
 }
 
-// Parse reads a declaration file in YAML or JSON and returns its objects, or every fault found.
+// Parse reads a declaration file in YAML or JSON.
+// It returns the valid objects, and one fault for each other object or for a file that cannot be read.
 func Parse(source []byte) ([]Declared, []error) {
 	raw, err := yaml.YAMLToJSON(source)
 	if err != nil {
 		return nil, []error{fmt.Errorf("read YAML: %w", err)}
 	}
-	file, err := decode[File](raw)
+	file, err := decodeStrict[File](raw)
 	if err != nil {
 		return nil, []error{err}
 	}
@@ -36,7 +37,7 @@
 	var faults []error
 	for kind, objects := range file.byKind() {
 		for name, value := range objects {
-			d, err := declare(kind, name, value)
+			d, err := newDeclared(kind, name, value)
 			if err != nil {
 				faults = append(faults, err)
 				continue
@@ -47,7 +48,7 @@
 	return declared, faults
 }
 
-// byKind returns the file's objects under the kinds of the platform.
+// byKind returns the file's objects by kind and name.
 func (f File) byKind() map[string]map[string]json.RawMessage {
 	return map[string]map[string]json.RawMessage{
 		conf.KindModel:        f.Models,
@@ -57,16 +58,16 @@
 	}
 }
 
-// declare checks one object and returns it in its stored encoding.
-func declare(kind, name string, value json.RawMessage) (Declared, error) {
+// newDeclared checks one object and encodes it as the platform stores it.
+func newDeclared(kind, name string, value json.RawMessage) (Declared, error) {
 	if !ValidName(name) {
 		return Declared{}, fmt.Errorf("%s %q: names are lower-case letters, digits, dots and dashes", kind, name)
 	}
-	v, err := Value(kind, name, value)
+	checked, err := Value(kind, name, value)
 	if err != nil {
 		return Declared{}, err
 	}
-	raw, err := json.Marshal(v)
+	raw, err := json.Marshal(checked)
 	if err != nil {
 		return Declared{}, fmt.Errorf("encode %s/%s: %w", kind, name, err)
 	}
--- a/core/decl/file_test.go
+++ b/core/decl/file_test.go
@@ -12,21 +12,21 @@
 	cases := map[string]struct {
 		text    string
 		objects int
-		fault   string // fault is part of the one fault, or empty.
+		fault   string // A part of the only fault, or empty if there is none.
 	}{
-		"empty":             {text: "{}"},
-		"model":             {text: `models: {m: {versions: ["1"], default-version: "1"}}`, objects: 1},
-		"json":              {text: `{"services": {"s": {"calls": [{"method": "POST", "path": "/x", "non-idempotent": true}]}}}`, objects: 1},
-		"unknown-kind":      {text: `pods: {}`, fault: `unknown field "pods"`},
-		"unknown-field":     {text: `models: {m: {version: ["1"]}}`, fault: `unknown field "version"`},
-		"default-not-there": {text: `models: {m: {versions: ["1"], default-version: "2"}}`, fault: "default-version"},
-		"no-version":        {text: `models: {m: {}}`, fault: "at least one version"},
-		"bad-name":          {text: `models: {"M m": {versions: ["1"], default-version: "1"}}`, fault: "lower-case"},
-		"target-of-both":    {text: `targets: {t: {address: "127.0.0.1:1", failure-domain: d, models: [m], service: s}}`, fault: "either models or a service"},
-		"target-no-port":    {text: `targets: {t: {address: "x", failure-domain: d, models: [m]}}`, fault: "missing port"},
-		"relative-path":     {text: `services: {s: {calls: [{method: GET, path: x}]}}`, fault: "begins with /"},
-		"short-hash":        {text: `organisations: {o: {key-hash: "12"}}`, fault: "64 hexadecimal"},
-		"not-yaml":          {text: "models: [", fault: "read YAML"},
+		"empty":                          {text: "{}"},
+		"model":                          {text: `models: {m: {versions: ["1"], default-version: "1"}}`, objects: 1},
+		"json":                           {text: `{"services": {"s": {"calls": [{"method": "POST", "path": "/x", "non-idempotent": true}]}}}`, objects: 1},
+		"unknown-kind":                   {text: `pods: {}`, fault: `unknown field "pods"`},
+		"unknown-field":                  {text: `models: {m: {version: ["1"]}}`, fault: `unknown field "version"`},
+		"default-is-no-version":          {text: `models: {m: {versions: ["1"], default-version: "2"}}`, fault: "default-version"},
+		"no-version":                     {text: `models: {m: {}}`, fault: "at least one version"},
+		"bad-name":                       {text: `models: {"M m": {versions: ["1"], default-version: "1"}}`, fault: "lower-case"},
+		"target-with-models-and-service": {text: `targets: {t: {address: "127.0.0.1:1", failure-domain: d, models: [m], service: s}}`, fault: "either models or a service"},
+		"target-no-port":                 {text: `targets: {t: {address: "x", failure-domain: d, models: [m]}}`, fault: "missing port"},
+		"relative-path":                  {text: `services: {s: {calls: [{method: GET, path: x}]}}`, fault: "begins with /"},
+		"short-hash":                     {text: `organisations: {o: {key-hash: "12"}}`, fault: "64 hexadecimal"},
+		"not-yaml":                       {text: "models: [", fault: "read YAML"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/decl/object.go
+++ b/core/decl/object.go
@@ -10,10 +10,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrKind is returned for a kind of object that is not configuration.
+// ErrKind is returned for an object whose kind is not a kind of configuration.
 var ErrKind = errors.New("unknown kind of configuration object")
 
-// Entries turns stored objects into configuration entries; objects that cannot be read are returned as errors and left out.
+// Entries converts stored objects to configuration entries.
+// It leaves out invalid objects and returns an error for each of them.
 func Entries(objects []store.Object) ([]conf.Entry, []error) {
 	var entries []conf.Entry
 	var faults []error
@@ -28,7 +29,7 @@
 	return entries, faults
 }
 
-// Entry turns one stored object into a configuration entry.
+// Entry converts one stored object to a configuration entry.
 func Entry(o store.Object) (conf.Entry, error) {
 	e := conf.Entry{
 		Key:      conf.Key{Kind: o.Kind, Name: o.Name},
@@ -53,15 +54,15 @@
 	var err error
 	switch kind {
 	case conf.KindModel:
-		value, err = decode[conf.Model](raw)
+		value, err = decodeStrict[conf.Model](raw)
 	case conf.KindOrganisation:
-		value, err = decode[conf.Organisation](raw)
+		value, err = decodeStrict[conf.Organisation](raw)
 	case conf.KindService:
-		value, err = decode[conf.Service](raw)
+		value, err = decodeStrict[conf.Service](raw)
 	case conf.KindSheet:
-		value, err = decode[conf.Sheet](raw)
+		value, err = decodeStrict[conf.Sheet](raw)
 	case conf.KindTarget:
-		value, err = decode[conf.Target](raw)
+		value, err = decodeStrict[conf.Target](raw)
 	default:
 		err = ErrKind
 	}
@@ -78,12 +79,12 @@
 	return value, nil
 }
 
-// decode reads JSON strictly, so that a misspelt field is an error and not a default.
-func decode[T any](raw []byte) (T, error) {
+// decodeStrict decodes JSON and rejects unknown fields, so that a misspelt field is not silently left at its default.
+func decodeStrict[T any](raw []byte) (T, error) {
 	var value T
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&value); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&value); err != nil {
 		return value, fmt.Errorf("read JSON: %w", err)
 	}
 	return value, nil
