--- a/core/mirror/view.go
+++ b/core/mirror/view.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// maxDeleted bounds the deleted entries that are remembered; the store's history is shorter.
+// maxDeleted bounds the deleted objects that a view remembers; the store's history covers fewer.
 const maxDeleted = 4096
 
-// Object is one stored object, or the news of its deletion.
+// Object is one stored object, or the record of its deletion.
 type Object struct {
 	Name     string
 	Revision uint64
@@ -17,22 +17,22 @@
 	Raw      []byte // Raw is the stored encoding, passed on to peers unchanged.
 }
 
-// Page is a set of objects, complete up to a revision.
+// Page is a list of all objects of a kind, or of those changed after some revision.
 type Page struct {
-	At      uint64
-	Whole   bool // Whole tells that the page lists every object, so that others are gone.
+	At      uint64 // At is the store's revision up to which the page is complete.
+	Whole   bool   // Whole is set if the page lists every object, so that all others are deleted.
 	Objects []Object
 }
 
-// View is a copy of all objects of one kind; its values are never changed after construction.
+// View is a copy of all objects of one kind. It is immutable.
 type View struct {
-	at      uint64
-	objects map[string]Object
+	revision uint64
+	objects  map[string]Object
 }
 
 // At returns the store's revision up to which the view is complete.
 func (v View) At() uint64 {
-	return v.at
+	return v.revision
 }
 
 // Get returns an object that is not deleted.
@@ -53,9 +53,9 @@
 	return live
 }
 
-// Since returns the page of all changes after a revision.
+// Since returns a page of all objects that changed after a revision, including deleted ones.
 func (v View) Since(after uint64) Page {
-	p := Page{At: v.at}
+	p := Page{At: v.revision}
 	for _, o := range v.objects {
 		if o.Revision > after {
 			p.Objects = append(p.Objects, o)
@@ -65,25 +65,25 @@
 	return p
 }
 
-// WithPage returns a view that holds the newer of each entry, and whether an entry changed.
+// WithPage returns a view that holds the newer version of each object, and whether an object changed.
 func (v View) WithPage(p Page) (View, bool) {
-	next := View{at: max(v.at, p.At), objects: maps.Clone(v.objects)}
+	next := View{revision: max(v.revision, p.At), objects: maps.Clone(v.objects)}
 	if next.objects == nil {
 		next.objects = make(map[string]Object, len(p.Objects))
 	}
 	changed := false
 	for _, o := range p.Objects {
-		changed = next.take(o) || changed
+		changed = next.merge(o) || changed
 	}
 	if p.Whole {
-		changed = next.drop(p) || changed
+		changed = next.deleteUnlisted(p) || changed
 	}
-	next.forget()
+	next.trimDeleted()
 	return next, changed
 }
 
-// drop marks what a whole page lacks as deleted, unless it was stored after the page was made.
-func (v View) drop(p Page) bool {
+// deleteUnlisted marks the objects that a whole page lacks as deleted, except for those changed after its revision.
+func (v View) deleteUnlisted(p Page) bool {
 	listed := make(map[string]bool, len(p.Objects))
 	for _, o := range p.Objects {
 		listed[o.Name] = true
@@ -98,8 +98,8 @@
 	return changed
 }
 
-// forget removes the oldest deletions beyond the bound.
-func (v View) forget() {
+// trimDeleted removes the oldest deleted objects beyond maxDeleted.
+func (v View) trimDeleted() {
 	var deleted []Object
 	for _, o := range v.objects {
 		if o.Deleted {
@@ -115,8 +115,10 @@
 	}
 }
 
-// take merges one object and tells whether it was news; a deletion may carry the revision of the last change.
-func (v View) take(o Object) bool {
+// merge adds an object unless a newer version is known, and reports whether the view changed; the deletion of an
+// unknown object does not count.
+// A deletion also replaces a version of the same revision: it may carry the revision of the object's last change.
+func (v View) merge(o Object) bool {
 	old, known := v.objects[o.Name]
 	if known && (o.Revision < old.Revision || o.Revision == old.Revision && (old.Deleted || !o.Deleted)) {
 		return false
--- a/core/mirror/view_test.go
+++ b/core/mirror/view_test.go
@@ -8,22 +8,22 @@
 
 func TestWithPage(t *testing.T) {
 	live := func(name string, revision uint64) Object { return Object{Name: name, Revision: revision} }
-	gone := func(name string, revision uint64) Object {
+	deleted := func(name string, revision uint64) Object {
 		return Object{Name: name, Revision: revision, Deleted: true}
 	}
 	cases := map[string]struct {
 		pages []Page
 		want  map[string]uint64
 	}{
-		"changes-merge":            {[]Page{{At: 1, Objects: []Object{live("a", 1)}}, {At: 3, Objects: []Object{live("b", 3)}}}, map[string]uint64{"a": 1, "b": 3}},
-		"old-change-ignored":       {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 3, Objects: []Object{live("a", 3)}}}, map[string]uint64{"a": 5}},
-		"deletion":                 {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{gone("a", 6)}}}, map[string]uint64{}},
-		"deletion-of-same-change":  {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{gone("a", 5)}}}, map[string]uint64{}},
-		"peer-does-not-revive":     {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{gone("a", 5)}}, {At: 5, Objects: []Object{live("a", 5)}}}, map[string]uint64{}},
-		"created-again":            {[]Page{{At: 6, Objects: []Object{gone("a", 5)}}, {At: 8, Objects: []Object{live("a", 8)}}}, map[string]uint64{"a": 8}},
-		"whole-drops":              {[]Page{{At: 5, Objects: []Object{live("a", 4), live("b", 5)}}, {At: 7, Whole: true, Objects: []Object{live("b", 5)}}}, map[string]uint64{"b": 5}},
-		"old-whole-keeps-newer":    {[]Page{{At: 9, Objects: []Object{live("a", 9)}}, {At: 7, Whole: true}}, map[string]uint64{"a": 9}},
-		"old-whole-does-not-lower": {[]Page{{At: 9, Objects: []Object{live("a", 9)}}, {At: 7, Whole: true, Objects: []Object{live("a", 6)}}}, map[string]uint64{"a": 9}},
+		"changes-are-merged":                     {[]Page{{At: 1, Objects: []Object{live("a", 1)}}, {At: 3, Objects: []Object{live("b", 3)}}}, map[string]uint64{"a": 1, "b": 3}},
+		"old-change-is-ignored":                  {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 3, Objects: []Object{live("a", 3)}}}, map[string]uint64{"a": 5}},
+		"deletion":                               {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{deleted("a", 6)}}}, map[string]uint64{}},
+		"deletion-at-same-revision":              {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{deleted("a", 5)}}}, map[string]uint64{}},
+		"old-page-does-not-restore":              {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{deleted("a", 5)}}, {At: 5, Objects: []Object{live("a", 5)}}}, map[string]uint64{}},
+		"created-again":                          {[]Page{{At: 6, Objects: []Object{deleted("a", 5)}}, {At: 8, Objects: []Object{live("a", 8)}}}, map[string]uint64{"a": 8}},
+		"whole-page-deletes":                     {[]Page{{At: 5, Objects: []Object{live("a", 4), live("b", 5)}}, {At: 7, Whole: true, Objects: []Object{live("b", 5)}}}, map[string]uint64{"b": 5}},
+		"old-whole-page-keeps-newer":             {[]Page{{At: 9, Objects: []Object{live("a", 9)}}, {At: 7, Whole: true}}, map[string]uint64{"a": 9}},
+		"old-whole-page-does-not-lower-revision": {[]Page{{At: 9, Objects: []Object{live("a", 9)}}, {At: 7, Whole: true, Objects: []Object{live("a", 6)}}}, map[string]uint64{"a": 9}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
