--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -14,17 +14,17 @@
 	"github.com/pkg/errors"
 )
 
-// KindRecord is the kind of the platform's objects that hold records.
+// KindRecord is the kind of the platform objects that hold records.
 const KindRecord = "audit"
 
-// Outcome says what became of a change.
+// Outcome is the result of a change.
 type Outcome string
 
 // The outcomes of a change.
 const (
-	Proposed Outcome = "proposed" // Proposed is a change of which the end was not recorded.
+	Proposed Outcome = "proposed" // Proposed is a change whose result was not recorded.
 	Accepted Outcome = "accepted"
-	Refused  Outcome = "refused"
+	Refused  Outcome = "refused" // Refused is a change of an object that had changed since From.
 )
 
 // Record is one change of one object.
@@ -34,23 +34,25 @@
 	Who     string    `json:"who"`
 	Kind    string    `json:"kind"`
 	Name    string    `json:"name"`
-	From    uint64    `json:"from"` // From is the revision that the change is based on; 0 creates the object.
+	From    uint64    `json:"from"` // From is the revision that the change was based on; 0 creates the object.
 	To      uint64    `json:"to,omitempty"`
 	Outcome Outcome   `json:"outcome"`
 	Changes []string  `json:"changes,omitempty"`
 }
 
-// Trail changes objects and keeps records of it.
+// Trail changes objects and records each change.
 type Trail struct {
 	store store.Store
 }
 
-// NewTrail returns a trail in a platform.
+// NewTrail returns a trail that is kept in a store.
 func NewTrail(s store.Store) *Trail {
 	return &Trail{store: store.Settled{Store: s}}
 }
 
-// Change writes an object on behalf of somebody, with a record; the error wraps store.ErrConflict or store.ErrUncertain.
+// Change writes an object on behalf of a person and records the change.
+// The error wraps the store's, such as store.ErrUncertain, or store.ErrConflict if the object has changed since
+// o.Revision.
 func (t *Trail) Change(ctx context.Context, who string, o store.Object, changes []string) (Record, error) {
 	r := Record{
 		ID:      token.NewID(),
@@ -62,7 +64,7 @@
 		Outcome: Proposed,
 		Changes: changes,
 	}
-	held, err := t.write(ctx, store.Object{Kind: KindRecord, Name: recordName(r)}, r)
+	stored, err := t.putRecord(ctx, store.Object{Kind: KindRecord, Name: recordName(r)}, r)
 	if err != nil {
 		return r, fmt.Errorf("record the change before making it: %w", err)
 	}
@@ -76,23 +78,24 @@
 	default:
 		return r, err
 	}
-	if _, closing := t.write(ctx, held, r); closing != nil && err == nil {
-		return r, nil // The change stands; History finds its outcome by the write id.
+	if _, closeErr := t.putRecord(ctx, stored, r); closeErr != nil && err == nil {
+		return r, nil // The change was made; History derives its outcome from the write id.
 	}
 	return r, err
 }
 
-// History returns the records of an object, or of all when kind is empty, the oldest first.
+// History returns the records of an object, oldest first.
+// An empty name matches all objects of the kind, an empty kind all objects.
 func (t *Trail) History(ctx context.Context, kind, name string) ([]Record, error) {
 	page, err := t.store.List(ctx, append(conf.Kinds(), KindRecord))
 	if err != nil {
 		return nil, fmt.Errorf("read the trail: %w", err)
 	}
-	standing := make(map[string]store.Object)
+	objectByWriteID := make(map[string]store.Object)
 	var records []Record
 	for _, o := range page.Objects {
 		if o.Kind != KindRecord {
-			standing[o.WriteID] = o
+			objectByWriteID[o.WriteID] = o
 			continue
 		}
 		var r Record
@@ -104,7 +107,7 @@
 		}
 	}
 	for i, r := range records {
-		if o, ok := standing[r.ID]; ok && r.Outcome == Proposed {
+		if o, ok := objectByWriteID[r.ID]; ok && r.Outcome == Proposed {
 			records[i].Outcome, records[i].To = Accepted, o.Revision
 		}
 	}
@@ -112,8 +115,8 @@
 	return records, nil
 }
 
-// write stores a record.
-func (t *Trail) write(ctx context.Context, o store.Object, r Record) (store.Object, error) {
+// putRecord writes a record as the value of o and returns the object at its new revision.
+func (t *Trail) putRecord(ctx context.Context, o store.Object, r Record) (store.Object, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return o, fmt.Errorf("encode record: %w", err)
@@ -123,7 +126,7 @@
 	return next, err
 }
 
-// recordName returns the object's name of a record, which sorts by time.
+// recordName returns the name of a record's object; names sort by time.
 func recordName(r Record) string {
 	return r.At.Format("20060102t150405.000") + "-" + strings.ToLower(r.ID)
 }
--- a/core/audit/trail_test.go
+++ b/core/audit/trail_test.go
@@ -12,37 +12,37 @@
 	"github.com/frankban/quicktest"
 )
 
-// raced delays the first write of a configuration object until another has been made.
-type raced struct {
+// racingStore runs a competing write before the first write of a sheet.
+type racingStore struct {
 	store.Store
-	before func()
-	once   sync.Once
+	competingWrite func()
+	once           sync.Once
 }
 
-// Put writes after the rival.
-func (r *raced) Put(ctx context.Context, o store.Object) (uint64, error) {
+// Put runs the competing write first.
+func (r *racingStore) Put(ctx context.Context, o store.Object) (uint64, error) {
 	if o.Kind == conf.KindSheet {
-		r.once.Do(r.before)
+		r.once.Do(r.competingWrite)
 	}
 	return r.Store.Put(ctx, o)
 }
 
 func TestChange(t *testing.T) {
 	cases := map[string]struct {
-		fault   store.Fault
-		heal    time.Duration // heal is when the fault ends, or 0 for never.
-		rival   bool
-		fails   bool
-		outcome Outcome // outcome is that of our record in the history.
-		stands  string
+		fault     store.Fault
+		faultEnds time.Duration // The time after which the fault ends, or 0 for never.
+		competing bool
+		wantErr   bool
+		outcome   Outcome // The outcome in the history, or empty if it is not checked.
+		stored    string  // The value of the sheet afterwards.
 	}{
-		"healthy":             {fault: store.Healthy{}, outcome: Accepted, stands: "ours"},
-		"answers-lost":        {fault: store.LoseAnswers{}, outcome: Accepted, stands: "ours"},
-		"writes-lost-a-while": {fault: store.LoseWrites{}, heal: 200 * time.Millisecond, outcome: Accepted, stands: "ours"},
-		"writes-lost":         {fault: store.LoseWrites{}, fails: true},
-		"platform-down":       {fault: store.Down{}, fails: true},
-		"rival-wins":          {fault: store.Healthy{}, rival: true, fails: true, outcome: Refused, stands: "theirs"},
-		"rival-wins-unheard":  {fault: store.LoseAnswers{}, rival: true, fails: true, outcome: Refused, stands: "theirs"},
+		"healthy":                               {fault: store.Healthy{}, outcome: Accepted, stored: "ours"},
+		"answers-lost":                          {fault: store.LoseAnswers{}, outcome: Accepted, stored: "ours"},
+		"writes-lost-for-a-while":               {fault: store.LoseWrites{}, faultEnds: 200 * time.Millisecond, outcome: Accepted, stored: "ours"},
+		"writes-lost":                           {fault: store.LoseWrites{}, wantErr: true},
+		"platform-down":                         {fault: store.Down{}, wantErr: true},
+		"competing-write-wins":                  {fault: store.Healthy{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
+		"competing-write-wins-and-answers-lost": {fault: store.LoseAnswers{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,18 +51,18 @@
 				time.Sleep(time.Nanosecond)
 				memory := store.NewMemory()
 				memory.SetFault(test.fault)
-				if test.heal > 0 {
-					time.AfterFunc(test.heal, func() { memory.SetFault(store.Healthy{}) })
+				if test.faultEnds > 0 {
+					time.AfterFunc(test.faultEnds, func() { memory.SetFault(store.Healthy{}) })
 				}
-				r := &raced{Store: memory, before: func() {
-					if test.rival {
+				r := &racingStore{Store: memory, competingWrite: func() {
+					if test.competing {
 						_, _ = memory.Put(t.Context(), store.Object{Kind: conf.KindSheet, Name: "club", WriteID: "rival", Value: []byte(`"theirs"`)})
 					}
 				}}
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
 				_, err := NewTrail(r).Change(ctx, "planner", store.Object{Kind: conf.KindSheet, Name: "club", Value: []byte(`"ours"`)}, nil)
-				c.Assert(err != nil, quicktest.Equals, test.fails, quicktest.Commentf("%v", err))
+				c.Assert(err != nil, quicktest.Equals, test.wantErr, quicktest.Commentf("%v", err))
 				memory.SetFault(store.Healthy{})
 				records, err := NewTrail(memory).History(t.Context(), conf.KindSheet, "club")
 				c.Assert(err, quicktest.IsNil)
@@ -72,8 +72,8 @@
 				}
 				o, _ := memory.Get(t.Context(), conf.KindSheet, "club")
 				want := ""
-				if test.stands != "" {
-					want = `"` + test.stands + `"`
+				if test.stored != "" {
+					want = `"` + test.stored + `"`
 				}
 				c.Assert(string(o.Value), quicktest.Equals, want)
 			})
