--- a/core/opts/env.go
+++ b/core/opts/env.go
@@ -9,35 +9,34 @@
 	"github.com/spf13/pflag"
 )
 
-// prefix begins the name of each environment variable.
-const prefix = "BRAMLEYWHARF_"
+const envPrefix = "BRAMLEYWHARF_"
 
 // ErrInvalid is wrapped by the error that lists every invalid setting.
 var ErrInvalid = errors.New("invalid settings")
 
-// Checks collects the faults of settings; the zero value holds none.
+// Checks collects faults of settings; the zero value is ready for use.
 type Checks struct {
 	faults []string
 }
 
-// ReadEnv sets each flag that was not given from its environment variable.
+// ReadEnv sets each flag that was not given on the command line from its environment variable.
 func ReadEnv(flags *pflag.FlagSet) error {
-	var c Checks
+	var checks Checks
 	flags.VisitAll(func(f *pflag.Flag) {
 		value, ok := os.LookupEnv(Variable(f.Name))
 		if !ok || f.Changed {
 			return
 		}
 		if err := flags.Set(f.Name, value); err != nil {
-			c.Fault("%s: %v", Variable(f.Name), err)
+			checks.Fault("%s: %v", Variable(f.Name), err)
 		}
 	})
-	return c.Err()
+	return checks.Err()
 }
 
-// Variable returns the environment variable of a flag.
+// Variable returns the name of a flag's environment variable.
 func Variable(flag string) string {
-	return prefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
+	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
 // Err returns one error that lists every fault, or nil.
@@ -48,12 +47,12 @@
 	return fmt.Errorf("%w:\n  %s", ErrInvalid, strings.Join(c.faults, "\n  "))
 }
 
-// Fault notes a fault.
+// Fault adds a fault.
 func (c *Checks) Fault(format string, args ...any) {
 	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-// Need notes a fault unless the condition holds.
+// Need adds a fault unless the condition holds.
 func (c *Checks) Need(ok bool, format string, args ...any) {
 	if !ok {
 		c.Fault(format, args...)
--- a/core/opts/main.go
+++ b/core/opts/main.go
@@ -10,14 +10,15 @@
 	"github.com/spf13/cobra"
 )
 
-// Execute runs a command whose context ends with the first interrupt, after its flags were read from the environment.
+// Execute runs a command whose context is cancelled by SIGINT or SIGTERM.
+// Flags are read from the environment first, unless the command has a PersistentPreRunE of its own.
 func Execute(root *cobra.Command, args []string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root.SilenceUsage = true
 	root.SilenceErrors = true
 	if root.PersistentPreRunE == nil {
-		root.PersistentPreRunE = func(c *cobra.Command, _ []string) error { return ReadEnv(c.Flags()) }
+		root.PersistentPreRunE = func(command *cobra.Command, _ []string) error { return ReadEnv(command.Flags()) }
 	}
 	root.SetArgs(args)
 	return root.ExecuteContext(ctx)
