--- a/core/conf/value.go
+++ b/core/conf/value.go
@@ -59,7 +59,7 @@
 	Share float64 `json:"share"`
 	// Priority is passed to engines; a higher one is served first.
 	Priority int `json:"priority"`
-	// Ceiling is the most generations running at once in the whole fleet.
+	// Ceiling limits the generations that run at once in the whole fleet.
 	Ceiling int `json:"ceiling"`
 	// Models lists the permitted models, each as model, model/adapter or model/adapter@version.
 	Models []string `json:"models"`
--- a/core/sheet/parse.go
+++ b/core/sheet/parse.go
@@ -30,7 +30,7 @@
 	endLabel  = "end"
 )
 
-// MaxSize is the most bytes of a sheet's text; it keeps the stored object under the platform's limit of 1 MiB.
+// MaxSize limits the text of a sheet, in bytes, so that the stored object stays under the platform's 1 MiB.
 const MaxSize = 512 << 10
 
 // maxShareSum is 100 with room for rounding in the spreadsheet's export.
--- a/core/site/config.go
+++ b/core/site/config.go
@@ -37,7 +37,7 @@
 	Repeat   Repeat
 	Timeout  time.Duration // Timeout bounds the wait for the complete response; 0 means no timeout.
 	Aim      time.Duration // Aim is the latency up to which a response counts as on time.
-	Attempts int           // Attempts is the most targets that one request may be sent to.
+	Attempts int           // Attempts limits the targets that one request is sent to.
 	Priority int           // Priority ranks requests; 0 is the most urgent.
 	Public   bool          // Public routes need no key.
 	Shares   []Share
@@ -73,8 +73,8 @@
 
 // Limits bound what callers may send.
 type Limits struct {
-	Header        int // Header is the most bytes of all headers.
-	Body          int // Body is the most bytes of the body.
+	Header        int // Header limits the headers, in bytes.
+	Body          int // Body limits the body, in bytes.
 	HeaderTimeout time.Duration
 	Idle          time.Duration // Idle is how long a caller's connection may stay idle.
 }
--- a/core/site/target.go
+++ b/core/site/target.go
@@ -19,7 +19,7 @@
 	Revision uint64
 }
 
-// Follows reports whether t is a later declaration of old that has not restarted or moved since.
+// Follows reports whether t declares the same target as old, at the same address and not restarted since.
 // If old's start is unknown, any start matches.
 func (t Target) Follows(old Target) bool {
 	return t.Name == old.Name && t.Address == old.Address && (t.Started == old.Started || old.Started == 0)
