--- a/core/store/counted.go
+++ b/core/store/counted.go
@@ -7,73 +7,73 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counted wraps a store and counts its calls, a waiting watch as one read.
+// Counted wraps a Store and counts its calls in metrics; a long-polling Changes call counts as one read.
 type Counted struct {
-	store  Store
-	reads  *metrics.Counter
-	writes *metrics.Counter
-	failed *metrics.Counter
-	open   *metrics.Gauge
+	store       Store
+	reads       *metrics.Counter
+	writes      *metrics.Counter
+	failures    *metrics.Counter
+	openWatches *metrics.Gauge
 }
 
 var _ Store = (*Counted)(nil)
 
-// NewCounted wraps a store with counters in the set.
-func NewCounted(s Store, set *metrics.Set) *Counted {
+// NewCounted wraps a store and registers the metrics of its calls in set.
+func NewCounted(platform Store, set *metrics.Set) *Counted {
 	return &Counted{
-		store:  s,
-		reads:  set.GetOrCreateCounter("bramleywharf_platform_reads_total"),
-		writes: set.GetOrCreateCounter("bramleywharf_platform_writes_total"),
-		failed: set.GetOrCreateCounter("bramleywharf_platform_failures_total"),
-		open:   set.GetOrCreateGauge("bramleywharf_platform_watches_open", nil),
+		store:       platform,
+		reads:       set.GetOrCreateCounter("bramleywharf_platform_reads_total"),
+		writes:      set.GetOrCreateCounter("bramleywharf_platform_writes_total"),
+		failures:    set.GetOrCreateCounter("bramleywharf_platform_failures_total"),
+		openWatches: set.GetOrCreateGauge("bramleywharf_platform_watches_open", nil),
 	}
 }
 
-// Changes counts a watch as one read and as open while it waits.
+// Changes counts one read, and one open watch while the call waits.
 func (c *Counted) Changes(ctx context.Context, kinds []string, after uint64, wait time.Duration) (Page, error) {
 	c.reads.Inc()
-	c.open.Inc()
-	defer c.open.Dec()
+	c.openWatches.Inc()
+	defer c.openWatches.Dec()
 	page, err := c.store.Changes(ctx, kinds, after, wait)
-	c.note(err)
+	c.countFailure(err)
 	return page, err
 }
 
-// Get counts a read.
+// Get counts one read.
 func (c *Counted) Get(ctx context.Context, kind, name string) (Object, error) {
 	c.reads.Inc()
 	o, err := c.store.Get(ctx, kind, name)
-	c.note(err)
+	c.countFailure(err)
 	return o, err
 }
 
-// Instances counts a read.
+// Instances counts one read.
 func (c *Counted) Instances(ctx context.Context) ([]Instance, error) {
 	c.reads.Inc()
-	list, err := c.store.Instances(ctx)
-	c.note(err)
-	return list, err
+	instances, err := c.store.Instances(ctx)
+	c.countFailure(err)
+	return instances, err
 }
 
-// List counts a read.
+// List counts one read.
 func (c *Counted) List(ctx context.Context, kinds []string) (Page, error) {
 	c.reads.Inc()
 	page, err := c.store.List(ctx, kinds)
-	c.note(err)
+	c.countFailure(err)
 	return page, err
 }
 
-// Put counts a write.
+// Put counts one write.
 func (c *Counted) Put(ctx context.Context, o Object) (uint64, error) {
 	c.writes.Inc()
 	revision, err := c.store.Put(ctx, o)
-	c.note(err)
+	c.countFailure(err)
 	return revision, err
 }
 
-// note counts a failed call.
-func (c *Counted) note(err error) {
+// countFailure counts a call that returned an error.
+func (c *Counted) countFailure(err error) {
 	if err != nil {
-		c.failed.Inc()
+		c.failures.Inc()
 	}
 }
--- a/core/store/doc.go
+++ b/core/store/doc.go
@@ -1,7 +1,8 @@
-// Package store is the border to the platform's object API and instance list.
+// Package store reads and writes the platform's objects and reads its list of instances.
 //
-// Store is the interface; HTTP speaks the published protocol, Memory is a
-// stand-in with faults for tests, and the wrappers add one thing each:
-// Counted counts calls and Settled finds out what became of a write whose
-// answer was lost. Values are JSON; the platform bounds them to 1 MiB.
+// Store is the interface. HTTP is a client of the platform's object API, and
+// Memory is an in-memory implementation with injectable faults for tests.
+// Counted wraps a store with metrics; Settled wraps one so that a write whose
+// response was lost is read back to learn its outcome. Values are JSON; the
+// platform limits each object to 1 MiB.
 package store
--- a/core/store/http.go
+++ b/core/store/http.go
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// callTimeout bounds one call to the platform beyond the time it was asked to wait.
+// callTimeout limits one call to the platform; Changes adds the wait that it asks the platform for.
 const callTimeout = 2 * time.Second
 
-// maxPage bounds the answer to one listing, in bytes.
-const maxPage = 64 << 20
+// maxResponseBytes limits the body of one response.
+const maxResponseBytes = 64 << 20
 
-// HTTP speaks the platform's object API over net/http.
+// HTTP is a client of the platform's object API over HTTP.
 type HTTP struct {
-	base   string
-	token  string
-	client *http.Client
+	baseURL string
+	token   string
+	client  *http.Client
 }
 
 var _ Store = (*HTTP)(nil)
 
-// NewHTTP returns a client of the platform at a base URL, with a bearer token.
-func NewHTTP(base, token string, transport http.RoundTripper) *HTTP {
+// NewHTTP returns a client of the platform at baseURL that sends token as a bearer token, unless it is empty.
+func NewHTTP(baseURL, token string, transport http.RoundTripper) *HTTP {
 	return &HTTP{
-		base:   strings.TrimSuffix(base, "/"),
-		token:  token,
-		client: &http.Client{Transport: transport},
+		baseURL: strings.TrimSuffix(baseURL, "/"),
+		token:   token,
+		client:  &http.Client{Transport: transport},
 	}
 }
 
-// Changes waits at the platform for changes after a revision.
+// Changes long-polls the platform for changes after a revision.
 func (h *HTTP) Changes(ctx context.Context, kinds []string, after uint64, wait time.Duration) (Page, error) {
 	query := url.Values{
 		"kinds": {strings.Join(kinds, ",")},
@@ -56,11 +56,11 @@
 	return o, err
 }
 
-// Instances reads the lagging list.
+// Instances reads the platform's list of instances.
 func (h *HTTP) Instances(ctx context.Context) ([]Instance, error) {
-	var list []Instance
-	err := h.get(ctx, "/v1/instances", callTimeout, &list)
-	return list, err
+	var instances []Instance
+	err := h.get(ctx, "/v1/instances", callTimeout, &instances)
+	return instances, err
 }
 
 // List reads all objects of the kinds.
@@ -71,7 +71,7 @@
 	return page, err
 }
 
-// Put writes an object under the condition that its revision still stands.
+// Put writes an object if its stored revision is still o.Revision, using a conditional request.
 func (h *HTTP) Put(ctx context.Context, o Object) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -95,11 +95,11 @@
 	return written.Revision, nil
 }
 
-// do sends a request and decodes its answer.
-func (h *HTTP) do(request *http.Request, into any) error {
+// do sends a request and decodes the JSON response into result.
+func (h *HTTP) do(request *http.Request, result any) error {
 	response, err := h.client.Do(request)
 	if err != nil {
-		return fmt.Errorf("%w: %w", lostAnswer(request.Method), err)
+		return fmt.Errorf("%w: %w", lostResponseError(request.Method), err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
@@ -111,31 +111,31 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return fmt.Errorf("platform answered %s: %w", response.Status, ErrDown)
 	default:
-		return fmt.Errorf("platform answered %s: %w", response.Status, lostAnswer(request.Method))
+		return fmt.Errorf("platform answered %s: %w", response.Status, lostResponseError(request.Method))
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxPage)).Decode(into); err != nil {
-		return fmt.Errorf("read platform's answer: %w: %w", lostAnswer(request.Method), err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(result); err != nil {
+		return fmt.Errorf("read platform response: %w: %w", lostResponseError(request.Method), err)
 	}
 	return nil
 }
 
-// get reads a path within a time.
-func (h *HTTP) get(ctx context.Context, path string, within time.Duration, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// get reads a path and decodes the JSON response into result.
+func (h *HTTP) get(ctx context.Context, path string, timeout time.Duration, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := h.request(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
-	if err := h.do(request, into); err != nil {
+	if err := h.do(request, result); err != nil {
 		return fmt.Errorf("read %s: %w", path, err)
 	}
 	return nil
 }
 
-// request builds a request with the platform's token.
+// request returns a request to the platform with the bearer token, if there is one.
 func (h *HTTP) request(ctx context.Context, method, path string, body io.Reader) (*http.Request, error) {
-	request, err := http.NewRequestWithContext(ctx, method, h.base+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, h.baseURL+path, body)
 	if err != nil {
 		return nil, fmt.Errorf("build platform request: %w", err)
 	}
@@ -146,15 +146,15 @@
 	return request, nil
 }
 
-// lostAnswer tells what an unanswered call may have done.
-func lostAnswer(method string) error {
+// lostResponseError returns the error for a call without a usable response: a PUT may have taken effect.
+func lostResponseError(method string) error {
 	if method == http.MethodPut {
 		return ErrUncertain
 	}
 	return ErrDown
 }
 
-// objectPath returns the path of one object.
+// objectPath returns the URL path of one object.
 func objectPath(kind, name string) string {
 	return "/v1/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
--- a/core/store/memory.go
+++ b/core/store/memory.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Fault is the sealed set of faults that a Memory store can show.
+// Fault is the sealed set of faults that a Memory store can simulate.
 type Fault interface {
 	isFault()
 }
 
-// Healthy shows no fault.
+// Healthy simulates no fault.
 type Healthy struct{}
 
-// Down refuses every call.
+// Down fails every call with ErrDown.
 type Down struct{}
 
-// LoseAnswers applies writes but loses their answers.
+// LoseAnswers applies writes but reports them as ErrUncertain, as if their responses were lost.
 type LoseAnswers struct{}
 
-// LoseWrites loses writes before they take effect, and their answers.
+// LoseWrites reports writes as ErrUncertain without applying them, as if the requests were lost.
 type LoseWrites struct{}
 
 // Slow delays every call.
@@ -36,14 +36,14 @@
 func (LoseWrites) isFault()  {}
 func (Slow) isFault()        {}
 
-// Memory is an object API held in memory, with faults; it is safe for concurrent use.
+// Memory is an in-memory Store with injectable faults; it is safe for concurrent use.
 type Memory struct {
 	mu        sync.Mutex
 	fault     Fault
 	revision  uint64
-	objects   map[string]Object
+	objects   map[string]Object // objects maps kind/name to the object.
 	instances []Instance
-	changed   chan struct{}
+	changed   chan struct{} // changed is closed and replaced when an object or the fault changes.
 }
 
 var _ Store = (*Memory)(nil)
@@ -57,12 +57,12 @@
 	}
 }
 
-// Changes waits for objects of the kinds changed after a revision.
+// Changes waits for objects of the kinds that changed after a revision; when none do in time, the page is empty.
 func (m *Memory) Changes(ctx context.Context, kinds []string, after uint64, wait time.Duration) (Page, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		if err := m.meet(ctx); err != nil {
+		if err := m.injectFault(ctx); err != nil {
 			return Page{}, err
 		}
 		page, changed := m.page(kinds, after)
@@ -81,7 +81,7 @@
 
 // Get returns one object.
 func (m *Memory) Get(ctx context.Context, kind, name string) (Object, error) {
-	if err := m.meet(ctx); err != nil {
+	if err := m.injectFault(ctx); err != nil {
 		return Object{}, err
 	}
 	m.mu.Lock()
@@ -93,9 +93,9 @@
 	return o, nil
 }
 
-// Instances returns the list as it was set.
+// Instances returns the list that SetInstances stored.
 func (m *Memory) Instances(ctx context.Context) ([]Instance, error) {
-	if err := m.meet(ctx); err != nil {
+	if err := m.injectFault(ctx); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -105,7 +105,7 @@
 
 // List returns all objects of the kinds.
 func (m *Memory) List(ctx context.Context, kinds []string) (Page, error) {
-	if err := m.meet(ctx); err != nil {
+	if err := m.injectFault(ctx); err != nil {
 		return Page{}, err
 	}
 	page, _ := m.page(kinds, 0)
@@ -114,7 +114,7 @@
 
 // Put writes an object if its stored revision is still o.Revision.
 func (m *Memory) Put(ctx context.Context, o Object) (uint64, error) {
-	if err := m.meet(ctx); err != nil {
+	if err := m.injectFault(ctx); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
@@ -137,7 +137,7 @@
 	return o.Revision, nil
 }
 
-// SetFault changes how the store fails from now on, and wakes waiting watches.
+// SetFault replaces the simulated fault and wakes waiting Changes calls.
 func (m *Memory) SetFault(f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,15 +146,15 @@
 	m.changed = make(chan struct{})
 }
 
-// SetInstances replaces the lagging list.
+// SetInstances replaces the list of instances.
 func (m *Memory) SetInstances(list []Instance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.instances = slices.Clone(list)
 }
 
-// meet shows the current fault to a call.
-func (m *Memory) meet(ctx context.Context) error {
+// injectFault fails or delays a call as the current fault demands.
+func (m *Memory) injectFault(ctx context.Context) error {
 	m.mu.Lock()
 	fault := m.fault
 	m.mu.Unlock()
@@ -171,7 +171,8 @@
 	return nil
 }
 
-// page returns the objects of the kinds changed after a revision and the channel that closes on the next change.
+// page returns the objects of the kinds that changed after a revision, and a channel that closes at the next
+// change.
 func (m *Memory) page(kinds []string, after uint64) (Page, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/core/store/settled.go
+++ b/core/store/settled.go
@@ -8,17 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// settlePause is the wait before a write whose answer was lost is read back.
-const settlePause = 20 * time.Millisecond
+// readBackDelay is the delay before a failed read-back, or a write that was not applied, is repeated.
+const readBackDelay = 20 * time.Millisecond
 
-// Settled wraps a store so that a write ends in the truth: an uncertain or repeated write is read back and recognised by its write id.
+// Settled wraps a Store so that Put returns the outcome of a write even if its response was lost: an uncertain or
+// conflicting write is read back and recognised by its write id. A conflict may be due to an earlier attempt of the
+// same write.
 type Settled struct {
 	Store
 }
 
 var _ Store = Settled{}
 
-// Put writes an object and, when the answer is lost, reads back until it knows or the context ends.
+// Put writes an object. While the outcome is unclear, it reads the object back and, if the write was not applied,
+// repeats it until the context ends. An object without a write id is written once.
 func (s Settled) Put(ctx context.Context, o Object) (uint64, error) {
 	revision, err := s.Store.Put(ctx, o)
 	if err == nil || o.WriteID == "" {
@@ -30,8 +33,8 @@
 	return s.readBack(ctx, o, err)
 }
 
-// readBack decides an uncertain write by what the platform holds now.
-func (s Settled) readBack(ctx context.Context, o Object, cause error) (uint64, error) {
+// readBack determines the outcome of a write that failed with writeErr from the object that the platform holds now.
+func (s Settled) readBack(ctx context.Context, o Object, writeErr error) (uint64, error) {
 	for {
 		stored, err := s.Get(ctx, o.Kind, o.Name)
 		switch {
@@ -40,25 +43,26 @@
 		case err == nil && stored.Revision != o.Revision:
 			return 0, fmt.Errorf("write %s/%s: %w", o.Kind, o.Name, ErrConflict)
 		case err == nil, errors.Is(err, ErrNotFound):
-			if !errors.Is(cause, ErrUncertain) {
-				return 0, cause
+			if !errors.Is(writeErr, ErrUncertain) {
+				return 0, writeErr
 			}
 			return s.retry(ctx, o)
 		}
 		select {
 		case <-ctx.Done():
 			return 0, fmt.Errorf("read back %s/%s: %w", o.Kind, o.Name, ErrUncertain)
-		case <-time.After(settlePause):
+		case <-time.After(readBackDelay):
 		}
 	}
 }
 
-// retry repeats a write that was not there when read back; the condition on the revision keeps it from applying twice.
+// retry repeats a write that was not found when read back; the condition on the revision keeps it from being applied
+// twice.
 func (s Settled) retry(ctx context.Context, o Object) (uint64, error) {
 	select {
 	case <-ctx.Done():
-		return 0, fmt.Errorf("repeat write of %s/%s: %w", o.Kind, o.Name, ErrUncertain)
-	case <-time.After(settlePause):
+		return 0, fmt.Errorf("retry write of %s/%s: %w", o.Kind, o.Name, ErrUncertain)
+	case <-time.After(readBackDelay):
 	}
 	return s.Put(ctx, o)
 }
--- a/core/store/settled_test.go
+++ b/core/store/settled_test.go
@@ -12,18 +12,18 @@
 
 func TestSettledPut(t *testing.T) {
 	cases := map[string]struct {
-		fault  Fault
-		heal   time.Duration // heal is when the fault ends, or 0 for never.
-		taken  bool          // taken tells whether another writer was first.
-		want   error
-		stored bool // stored tells whether the value is ours in the end.
+		fault         Fault
+		faultDuration time.Duration // faultDuration is the time until the fault ends; 0 means never.
+		conflicting   bool          // conflicting tells whether another writer creates the object first.
+		wantErr       error
+		wantStored    bool // wantStored tells whether the written object is stored in the end.
 	}{
-		"healthy":              {fault: Healthy{}, stored: true},
-		"answer-lost":          {fault: LoseAnswers{}, stored: true},
-		"write-lost-for-a-bit": {fault: LoseWrites{}, heal: 100 * time.Millisecond, stored: true},
-		"write-lost-for-good":  {fault: LoseWrites{}, want: ErrUncertain},
-		"taken":                {fault: Healthy{}, taken: true, want: ErrConflict},
-		"taken-answer-lost":    {fault: LoseAnswers{}, taken: true, want: ErrConflict},
+		"healthy":              {fault: Healthy{}, wantStored: true},
+		"answer-lost":          {fault: LoseAnswers{}, wantStored: true},
+		"write-lost-at-first":  {fault: LoseWrites{}, faultDuration: 100 * time.Millisecond, wantStored: true},
+		"write-lost-always":    {fault: LoseWrites{}, wantErr: ErrUncertain},
+		"conflict":             {fault: Healthy{}, conflicting: true, wantErr: ErrConflict},
+		"conflict-answer-lost": {fault: LoseAnswers{}, conflicting: true, wantErr: ErrConflict},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -33,19 +33,19 @@
 				memory := NewMemory()
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				if test.taken {
+				if test.conflicting {
 					_, err := memory.Put(ctx, Object{Kind: "k", Name: "n", WriteID: "theirs"})
 					c.Assert(err, quicktest.IsNil)
 				}
 				memory.SetFault(test.fault)
-				if test.heal > 0 {
-					time.AfterFunc(test.heal, func() { memory.SetFault(Healthy{}) })
+				if test.faultDuration > 0 {
+					time.AfterFunc(test.faultDuration, func() { memory.SetFault(Healthy{}) })
 				}
 				_, err := Settled{Store: memory}.Put(ctx, Object{Kind: "k", Name: "n", WriteID: "ours"})
-				c.Assert(errors.Is(err, test.want), quicktest.IsTrue, quicktest.Commentf("%v", err))
+				c.Assert(errors.Is(err, test.wantErr), quicktest.IsTrue, quicktest.Commentf("%v", err))
 				memory.SetFault(Healthy{})
 				o, _ := memory.Get(t.Context(), "k", "n")
-				c.Assert(o.WriteID == "ours", quicktest.Equals, test.stored)
+				c.Assert(o.WriteID == "ours", quicktest.Equals, test.wantStored)
 			})
 		})
 	}
--- a/core/store/store.go
+++ b/core/store/store.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of the platform's object API.
+// Errors of a Store.
 var (
 	ErrNotFound  = errors.New("object not found in the platform")
 	ErrConflict  = errors.New("object changed in the platform since it was read")
@@ -16,7 +16,7 @@
 	ErrDown      = errors.New("platform is not reachable")
 )
 
-// MaxValue bounds the encoding of one object, in bytes.
+// MaxValue limits the JSON encoding of one object, in bytes.
 const MaxValue = 1 << 20
 
 // Object is one stored object; Revision is 0 for an object that is not stored yet.
@@ -24,41 +24,42 @@
 	Kind     string          `json:"kind"`
 	Name     string          `json:"name"`
 	Revision uint64          `json:"revision"`
-	WriteID  string          `json:"write-id,omitempty"` // WriteID is chosen by the writer, who recognises its write by it.
+	WriteID  string          `json:"write-id,omitempty"` // WriteID lets the writer recognise its own write.
 	Deleted  bool            `json:"deleted,omitempty"`
 	Value    json.RawMessage `json:"value,omitempty"`
 }
 
-// Page is a set of objects that is complete up to a revision.
+// Page is the result of a list or watch, complete up to Revision.
 type Page struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// Instance is one line of the platform's lagging list.
+// Instance is one entry of the platform's list of instances, which may lag behind the actual state.
 type Instance struct {
 	Name          string `json:"name"`
 	Domain        string `json:"failure-domain"`
-	CallerAddress string `json:"caller-address"` // CallerAddress is where callers connect, as ip:port.
-	PeerAddress   string `json:"peer-address"`   // PeerAddress is where other instances connect, as ip:port.
+	CallerAddress string `json:"caller-address"` // CallerAddress is the ip:port for callers.
+	PeerAddress   string `json:"peer-address"`   // PeerAddress is the ip:port for other instances.
 	Leaving       bool   `json:"leaving,omitempty"`
 }
 
-// Store is the platform's service as the system uses it.
+// Store gives access to the platform's objects and its list of instances.
 type Store interface {
-	// Changes waits up to a time for objects of the kinds changed after a revision; the page may be empty.
+	// Changes waits up to wait for objects of the kinds that changed after a revision; the page may be empty.
 	Changes(ctx context.Context, kinds []string, after uint64, wait time.Duration) (Page, error)
-	// Get returns one object or ErrNotFound.
+	// Get returns one object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Instances returns the lagging list of live and leaving instances.
+	// Instances returns the live and leaving instances; the list may lag behind the actual state.
 	Instances(ctx context.Context) ([]Instance, error)
 	// List returns all objects of the kinds.
 	List(ctx context.Context, kinds []string) (Page, error)
-	// Put writes an object if its stored revision is still o.Revision and returns the new revision, ErrConflict or ErrUncertain.
+	// Put writes an object if its stored revision is still o.Revision, and returns the new revision. It fails with
+	// ErrConflict when the revision differs, and with ErrUncertain when the write may have been applied.
 	Put(ctx context.Context, o Object) (uint64, error)
 }
 
-// WithValue returns a copy of the object that carries a value and the id of its write.
+// WithValue returns a copy of the object with a new value and the id of its write.
 func (o Object) WithValue(writeID string, value json.RawMessage) Object {
 	o.WriteID = writeID
 	o.Value = value
