--- a/core/peer/doc.go
+++ b/core/peer/doc.go
@@ -1,5 +1,6 @@
 // Package peer carries messages between instances over QUIC.
 //
-// Both ends prove that they hold the fleet's key. One stream carries one
-// question and its answer; connections are kept while they are used.
+// The two ends authenticate each other by a key that all instances derive from
+// the fleet's secret. Each stream carries one request and its response;
+// connections are reused and closed when they have been idle for a while.
 package peer
--- a/core/peer/quic.go
+++ b/core/peer/quic.go
@@ -17,94 +17,94 @@
 )
 
 const (
-	idleTimeout      = 20 * time.Second // idleTimeout closes connections that carry nothing.
-	handshakeTimeout = 2 * time.Second
-	askTimeout       = 2 * time.Second // askTimeout bounds questions that come without a deadline of their own.
-	headerBytes      = 28              // headerBytes is the length of the IP and UDP headers of a packet.
-	maxStreams       = 256             // maxStreams bounds the questions that one peer may have open.
+	idleTimeout       = 20 * time.Second // idleTimeout is the time after which an unused connection is closed.
+	handshakeTimeout  = 2 * time.Second
+	defaultTimeout    = 2 * time.Second // defaultTimeout limits requests whose context has no deadline.
+	packetHeaderBytes = 28              // packetHeaderBytes is the size of the IPv4 and UDP headers of a packet.
+	maxStreamsPerConn = 256             // maxStreamsPerConn limits the concurrent requests of one peer.
 )
 
-// ErrRefused is returned when the other end could not handle a message.
+// ErrRefused is returned when the other end rejected the request with wire.Failed.
 var ErrRefused = errors.New("peer refused the message")
 
-// Quic is a Net over QUIC that also answers the questions of others.
+// Quic is a Net over QUIC that also serves the requests of other instances.
 type Quic struct {
-	transport *quic.Transport
-	listener  *quic.Listener
-	tls       *tls.Config
-	settings  *quic.Config
-	handler   Handler
-	sent      *metrics.Counter
-	received  *metrics.Counter
+	transport     *quic.Transport
+	listener      *quic.Listener
+	tls           *tls.Config
+	quicConfig    *quic.Config
+	handler       Handler
+	sentBytes     *metrics.Counter
+	receivedBytes *metrics.Counter
 
-	mu    sync.Mutex
-	conns map[string]*quic.Conn
-	open  map[*quic.Conn]bool
-	dials singleflight.Group
-	past  int // past counts the bytes on the wire of closed connections.
-	group sync.WaitGroup
-	stop  context.CancelFunc
-	done  chan struct{}
+	mu              sync.Mutex
+	connByAddress   map[string]*quic.Conn // connByAddress maps peer addresses to the connections dialled to them.
+	openConns       map[*quic.Conn]bool   // openConns holds dialled and accepted connections.
+	dialGroup       singleflight.Group
+	closedWireBytes int // closedWireBytes sums up the bytes on the wire of connections that have closed.
+	goroutines      sync.WaitGroup
+	cancel          context.CancelFunc
+	done            chan struct{}
 }
 
 var _ Net = (*Quic)(nil)
 
-// NewQuic listens on a UDP address and answers with the handler until Close.
+// NewQuic listens on a UDP address and serves requests with the handler until Close.
 func NewQuic(address string, secret []byte, handler Handler, set *metrics.Set) (*Quic, error) {
-	config, err := fleetTLS(secret)
+	tlsConfig, err := fleetTLS(secret)
 	if err != nil {
 		return nil, err
 	}
-	udp, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("resolve peer address: %w", err)
 	}
-	socket, err := net.ListenUDP("udp", udp)
+	socket, err := net.ListenUDP("udp", udpAddress)
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
 	q := &Quic{
 		transport: &quic.Transport{Conn: socket},
-		tls:       config,
-		settings: &quic.Config{
+		tls:       tlsConfig,
+		quicConfig: &quic.Config{
 			MaxIdleTimeout:        idleTimeout,
 			HandshakeIdleTimeout:  handshakeTimeout,
-			MaxIncomingStreams:    maxStreams,
+			MaxIncomingStreams:    maxStreamsPerConn,
 			MaxIncomingUniStreams: -1,
 		},
-		handler:  handler,
-		sent:     set.GetOrCreateCounter("bramleywharf_peer_sent_bytes_total"),
-		received: set.GetOrCreateCounter("bramleywharf_peer_received_bytes_total"),
-		conns:    make(map[string]*quic.Conn),
-		open:     make(map[*quic.Conn]bool),
-		done:     make(chan struct{}),
+		handler:       handler,
+		sentBytes:     set.GetOrCreateCounter("bramleywharf_peer_sent_bytes_total"),
+		receivedBytes: set.GetOrCreateCounter("bramleywharf_peer_received_bytes_total"),
+		connByAddress: make(map[string]*quic.Conn),
+		openConns:     make(map[*quic.Conn]bool),
+		done:          make(chan struct{}),
 	}
 	set.NewGauge("bramleywharf_peer_wire_bytes", func() float64 { return float64(q.wireBytes()) })
-	set.NewGauge("bramleywharf_peer_connections", func() float64 { return float64(q.connections()) })
-	q.listener, err = q.transport.Listen(config, q.settings)
+	set.NewGauge("bramleywharf_peer_connections", func() float64 { return float64(q.connectionCount()) })
+	q.listener, err = q.transport.Listen(tlsConfig, q.quicConfig)
 	if err != nil {
-		return nil, fmt.Errorf("accept peers: %w", err)
+		return nil, fmt.Errorf("listen for QUIC connections: %w", err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	q.stop = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	q.cancel = cancel
 	go func() {
 		defer close(q.done)
 		q.accept(ctx)
-		q.group.Wait()
+		q.goroutines.Wait()
 	}()
 	return q, nil
 }
 
-// Address returns the UDP address that is listened on.
+// Address returns the UDP address on which it listens.
 func (q *Quic) Address() string {
 	return q.listener.Addr().String()
 }
 
-// Ask sends a message to a peer address and returns the answer.
+// Ask sends a request to a peer address and returns the response.
 func (q *Quic) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
-	if _, bounded := ctx.Deadline(); !bounded {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, askTimeout)
+		ctx, cancel = context.WithTimeout(ctx, defaultTimeout)
 		defer cancel()
 	}
 	raw, err := wire.Encode(m)
@@ -115,25 +115,25 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := q.exchange(ctx, conn, raw)
+	response, err := q.roundTrip(ctx, conn, raw)
 	if err != nil {
-		q.forget(address, conn)
+		q.discard(address, conn)
 		return nil, fmt.Errorf("ask peer %s: %w", address, err)
 	}
-	if f, failed := answer.(wire.Failed); failed {
+	if f, failed := response.(wire.Failed); failed {
 		return nil, fmt.Errorf("%w: %s", ErrRefused, f.Reason)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// Close stops answering and closes all connections.
+// Close stops serving, waits for the handlers and closes all connections.
 func (q *Quic) Close() {
-	q.stop()
+	q.cancel()
 	_ = q.listener.Close()
 	q.mu.Lock()
-	for address, conn := range q.conns {
+	for address, conn := range q.connByAddress {
 		_ = conn.CloseWithError(0, "closing")
-		delete(q.conns, address)
+		delete(q.connByAddress, address)
 	}
 	q.mu.Unlock()
 	<-q.done
@@ -141,28 +141,28 @@
 	_ = q.transport.Conn.Close()
 }
 
-// Done is closed when the last answer has been given after Close.
+// Done returns a channel that closes when the last handler has returned after Close.
 func (q *Quic) Done() <-chan struct{} {
 	return q.done
 }
 
-// accept serves incoming connections until the listener closes.
+// accept serves incoming connections until the context ends or the listener closes.
 func (q *Quic) accept(ctx context.Context) {
 	for {
 		conn, err := q.listener.Accept(ctx)
 		if err != nil {
 			return
 		}
-		q.track(conn)
-		q.group.Go(func() { q.serve(ctx, conn) })
+		q.trackConn(conn)
+		q.goroutines.Go(func() { q.serveConn(ctx, conn) })
 	}
 }
 
-// answer handles the one message of a stream.
-func (q *Quic) answer(ctx context.Context, stream *quic.Stream) {
+// handleStream reads the one request of a stream and writes the response.
+func (q *Quic) handleStream(ctx context.Context, stream *quic.Stream) {
 	defer func() { _ = stream.Close() }()
 	_ = stream.SetDeadline(time.Now().Add(30 * time.Second))
-	m, err := q.read(stream)
+	m, err := q.readMessage(stream)
 	if err != nil {
 		stream.CancelRead(0)
 		return
@@ -171,21 +171,21 @@
 	if err != nil {
 		return
 	}
-	q.sent.Add(len(raw))
+	q.sentBytes.Add(len(raw))
 	_, _ = stream.Write(raw)
 }
 
-// connect returns a connection to a peer address, a kept one if there is one; questions that come at once share one attempt.
+// connect returns the open connection to a peer address, or dials one; concurrent calls share one dial.
 func (q *Quic) connect(ctx context.Context, address string) (*quic.Conn, error) {
 	q.mu.Lock()
-	conn, ok := q.conns[address]
+	conn, ok := q.connByAddress[address]
 	q.mu.Unlock()
 	if ok && conn.Context().Err() == nil {
 		return conn, nil
 	}
-	dialed := q.dials.DoChan(address, func() (any, error) { return q.dial(address) })
+	dialResult := q.dialGroup.DoChan(address, func() (any, error) { return q.dial(address) })
 	select {
-	case result := <-dialed:
+	case result := <-dialResult:
 		conn, _ := result.Val.(*quic.Conn)
 		return conn, result.Err
 	case <-ctx.Done():
@@ -193,34 +193,34 @@
 	}
 }
 
-// dial opens a connection to a peer address and keeps it.
+// dial opens a connection to a peer address and keeps it for reuse.
 func (q *Quic) dial(address string) (*quic.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	udp, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("resolve peer %s: %w", address, err)
 	}
-	conn, err := q.transport.Dial(ctx, udp, q.tls, q.settings)
+	conn, err := q.transport.Dial(ctx, udpAddress, q.tls, q.quicConfig)
 	if err != nil {
 		return nil, fmt.Errorf("connect to peer %s: %w", address, err)
 	}
-	q.track(conn)
+	q.trackConn(conn)
 	q.mu.Lock()
-	q.conns[address] = conn
+	q.connByAddress[address] = conn
 	q.mu.Unlock()
 	return conn, nil
 }
 
-// connections returns the number of open connections.
-func (q *Quic) connections() int {
+// connectionCount returns the number of open connections.
+func (q *Quic) connectionCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.open)
+	return len(q.openConns)
 }
 
-// exchange sends an encoded message on a new stream and reads the answer.
-func (q *Quic) exchange(ctx context.Context, conn *quic.Conn, raw []byte) (wire.Message, error) {
+// roundTrip sends an encoded request on a new stream and reads the response.
+func (q *Quic) roundTrip(ctx context.Context, conn *quic.Conn, raw []byte) (wire.Message, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("open stream: %w", err)
@@ -233,77 +233,77 @@
 	if _, err := stream.Write(raw); err != nil {
 		return nil, fmt.Errorf("send: %w", err)
 	}
-	q.sent.Add(len(raw))
+	q.sentBytes.Add(len(raw))
 	if err := stream.Close(); err != nil {
-		return nil, fmt.Errorf("end question: %w", err)
+		return nil, fmt.Errorf("close sending side: %w", err)
 	}
-	return q.read(stream)
+	return q.readMessage(stream)
 }
 
-// forget closes a connection that failed, so that the next question takes a fresh one.
-func (q *Quic) forget(address string, conn *quic.Conn) {
+// discard closes a connection that failed, so that the next request dials a new one.
+func (q *Quic) discard(address string, conn *quic.Conn) {
 	q.mu.Lock()
-	if q.conns[address] == conn {
-		delete(q.conns, address)
+	if q.connByAddress[address] == conn {
+		delete(q.connByAddress, address)
 	}
 	q.mu.Unlock()
 	_ = conn.CloseWithError(0, "failed")
 }
 
-// read returns the one message of a stream.
-func (q *Quic) read(r io.Reader) (wire.Message, error) {
+// readMessage reads a stream to its end and decodes its one message.
+func (q *Quic) readMessage(r io.Reader) (wire.Message, error) {
 	raw, err := io.ReadAll(io.LimitReader(r, wire.MaxSize))
 	if err != nil {
 		return nil, fmt.Errorf("receive: %w", err)
 	}
-	q.received.Add(len(raw))
+	q.receivedBytes.Add(len(raw))
 	return wire.Decode(raw)
 }
 
-// serve answers the streams of one connection until it closes.
-func (q *Quic) serve(ctx context.Context, conn *quic.Conn) {
+// serveConn serves the streams of one connection until it closes.
+func (q *Quic) serveConn(ctx context.Context, conn *quic.Conn) {
 	defer func() { _ = conn.CloseWithError(0, "closing") }()
 	for {
 		stream, err := conn.AcceptStream(ctx)
 		if err != nil {
 			return
 		}
-		q.group.Go(func() { q.answer(ctx, stream) })
+		q.goroutines.Go(func() { q.handleStream(ctx, stream) })
 	}
 }
 
-// track counts the bytes of a connection until it closes.
-func (q *Quic) track(conn *quic.Conn) {
+// trackConn includes a connection in the metrics, and removes it from the maps when it closes.
+func (q *Quic) trackConn(conn *quic.Conn) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.open[conn] = true
+	q.openConns[conn] = true
 	context.AfterFunc(conn.Context(), func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		delete(q.open, conn)
-		for address, kept := range q.conns {
-			if kept == conn {
-				delete(q.conns, address)
+		delete(q.openConns, conn)
+		for address, known := range q.connByAddress {
+			if known == conn {
+				delete(q.connByAddress, address)
 			}
 		}
-		q.past += wireBytes(conn)
+		q.closedWireBytes += wireBytes(conn)
 	})
 }
 
-// wireBytes returns the bytes that all connections put on the wire in both directions, headers included.
+// wireBytes returns the bytes that all connections have sent and received, including IP and UDP headers.
 func (q *Quic) wireBytes() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	sum := q.past
-	for conn := range q.open {
+	sum := q.closedWireBytes
+	for conn := range q.openConns {
 		sum += wireBytes(conn)
 	}
 	return sum
 }
 
-// wireBytes returns the bytes that one connection put on the wire in both directions, headers included.
+// wireBytes returns the bytes that one connection has sent and received, including IP and UDP headers.
 func wireBytes(conn *quic.Conn) int {
 	s := conn.ConnectionStats()
 	packets := s.PacketsSent + s.PacketsReceived
-	return int(s.BytesSent+s.BytesReceived) + headerBytes*int(packets)
+	return int(s.BytesSent+s.BytesReceived) + packetHeaderBytes*int(packets)
 }
--- a/core/peer/quic_test.go
+++ b/core/peer/quic_test.go
@@ -11,8 +11,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// start returns an instance's transport that answers every pull with a page.
-func start(c *quicktest.C, address, secret string) *Quic {
+// startPeer starts a peer that answers each wire.PullConfig with a wire.ConfigPage and rejects other messages.
+func startPeer(c *quicktest.C, address, secret string) *Quic {
 	q, err := NewQuic(address, []byte(secret), func(_ context.Context, m wire.Message) wire.Message {
 		p, ok := m.(wire.PullConfig)
 		if !ok {
@@ -26,50 +26,50 @@
 
 func TestAsk(t *testing.T) {
 	cases := map[string]struct {
-		secret string // secret is that of the instance that asks.
-		ask    wire.Message
-		want   wire.Message
-		fails  bool
+		secret  string // secret is the fleet's secret as the client knows it.
+		request wire.Message
+		want    wire.Message
+		wantErr bool
 	}{
-		"answered":        {secret: "fleet", ask: wire.PullConfig{After: 4}, want: wire.ConfigPage{Revision: 5}},
-		"refused":         {secret: "fleet", ask: wire.Keep{From: "a"}, fails: true},
-		"another-fleet":   {secret: "stranger", ask: wire.PullConfig{}, fails: true},
-		"large-questions": {secret: "fleet", ask: wire.PullConfig{After: 1 << 40}, want: wire.ConfigPage{Revision: 1<<40 + 1}},
+		"answered":       {secret: "fleet", request: wire.PullConfig{After: 4}, want: wire.ConfigPage{Revision: 5}},
+		"refused":        {secret: "fleet", request: wire.Keep{From: "a"}, wantErr: true},
+		"another-fleet":  {secret: "stranger", request: wire.PullConfig{}, wantErr: true},
+		"large-revision": {secret: "fleet", request: wire.PullConfig{After: 1 << 40}, want: wire.ConfigPage{Revision: 1<<40 + 1}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			server := start(c, "127.0.0.1:0", "fleet")
+			server := startPeer(c, "127.0.0.1:0", "fleet")
 			defer server.Close()
-			client := start(c, "127.0.0.1:0", test.secret)
+			client := startPeer(c, "127.0.0.1:0", test.secret)
 			defer client.Close()
-			got, err := client.Ask(t.Context(), server.Address(), test.ask)
-			c.Assert(err != nil, quicktest.Equals, test.fails, quicktest.Commentf("%v", err))
-			if !test.fails {
+			got, err := client.Ask(t.Context(), server.Address(), test.request)
+			c.Assert(err != nil, quicktest.Equals, test.wantErr, quicktest.Commentf("%v", err))
+			if !test.wantErr {
 				c.Assert(got, quicktest.DeepEquals, test.want)
 			}
 		})
 	}
 }
 
-// TestAskAfterRestart checks that a peer that comes back at its address is asked over a fresh connection.
+// TestAskAfterRestart checks that requests to a peer that has restarted at its address use a new connection.
 func TestAskAfterRestart(t *testing.T) {
 	c := quicktest.New(t)
-	client := start(c, "127.0.0.1:0", "fleet")
+	client := startPeer(c, "127.0.0.1:0", "fleet")
 	defer client.Close()
-	server := start(c, "127.0.0.1:0", "fleet")
+	server := startPeer(c, "127.0.0.1:0", "fleet")
 	address := server.Address()
 	for range 3 {
 		_, err := client.Ask(t.Context(), address, wire.PullConfig{})
 		c.Assert(err, quicktest.IsNil)
 		server.Close()
-		server = start(c, address, "fleet")
-		limit := time.Now().Add(10 * time.Second)
+		server = startPeer(c, address, "fleet")
+		deadline := time.Now().Add(10 * time.Second)
 		for {
 			if _, err := client.Ask(t.Context(), address, wire.PullConfig{}); err == nil {
 				break
 			}
-			c.Assert(time.Now().Before(limit), quicktest.IsTrue)
+			c.Assert(time.Now().Before(deadline), quicktest.IsTrue)
 		}
 	}
 	server.Close()
@@ -77,9 +77,9 @@
 
 func TestAskConcurrently(t *testing.T) {
 	c := quicktest.New(t)
-	server := start(c, "127.0.0.1:0", "fleet")
+	server := startPeer(c, "127.0.0.1:0", "fleet")
 	defer server.Close()
-	client := start(c, "127.0.0.1:0", "fleet")
+	client := startPeer(c, "127.0.0.1:0", "fleet")
 	defer client.Close()
 	var group sync.WaitGroup
 	for i := range 200 {
