--- a/core/token/cursor_test.go
+++ b/core/token/cursor_test.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-func sealer(c *quicktest.C, secret string) *Sealer {
+func mustNewSealer(c *quicktest.C, secret string) *Sealer {
 	s, err := NewSealer([]byte(secret))
 	c.Assert(err, quicktest.IsNil)
 	return s
@@ -18,28 +18,28 @@
 	cases := map[string]struct {
 		organisation string
 		secret       string
-		change       func(string) string
-		forged       bool
+		tamper       func(string) string
+		wantForged   bool
 	}{
-		"own":             {organisation: "north", secret: "fleet"},
-		"foreign":         {organisation: "south", secret: "fleet", forged: true},
-		"other-fleet":     {organisation: "north", secret: "other", forged: true},
-		"bit-changed":     {organisation: "north", secret: "fleet", change: func(s string) string { return s[:9] + flip(s[9]) + s[10:] }, forged: true},
-		"cut":             {organisation: "north", secret: "fleet", change: func(s string) string { return s[:len(s)-4] }, forged: true},
-		"empty":           {organisation: "north", secret: "fleet", change: func(string) string { return "" }, forged: true},
-		"not-in-alphabet": {organisation: "north", secret: "fleet", change: func(s string) string { return "!" + s[1:] }, forged: true},
-		"too-long":        {organisation: "north", secret: "fleet", change: func(s string) string { return s + string(make([]byte, MaxLength)) }, forged: true},
+		"same-organisation":  {organisation: "north", secret: "fleet"},
+		"other-organisation": {organisation: "south", secret: "fleet", wantForged: true},
+		"other-fleet":        {organisation: "north", secret: "other", wantForged: true},
+		"bit-changed":        {organisation: "north", secret: "fleet", tamper: func(s string) string { return s[:9] + differentLetter(s[9]) + s[10:] }, wantForged: true},
+		"truncated":          {organisation: "north", secret: "fleet", tamper: func(s string) string { return s[:len(s)-4] }, wantForged: true},
+		"empty":              {organisation: "north", secret: "fleet", tamper: func(string) string { return "" }, wantForged: true},
+		"not-in-alphabet":    {organisation: "north", secret: "fleet", tamper: func(s string) string { return "!" + s[1:] }, wantForged: true},
+		"too-long":           {organisation: "north", secret: "fleet", tamper: func(s string) string { return s + string(make([]byte, MaxLength)) }, wantForged: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			id, err := sealer(c, "fleet").Seal("north", cursor)
+			id, err := mustNewSealer(c, "fleet").Seal("north", cursor)
 			c.Assert(err, quicktest.IsNil)
-			if test.change != nil {
-				id = test.change(id)
+			if test.tamper != nil {
+				id = test.tamper(id)
 			}
-			got, err := sealer(c, test.secret).Open(test.organisation, id)
-			if test.forged {
+			got, err := mustNewSealer(c, test.secret).Open(test.organisation, id)
+			if test.wantForged {
 				c.Assert(errors.Is(err, ErrForged), quicktest.IsTrue)
 				return
 			}
@@ -49,8 +49,8 @@
 	}
 }
 
-// flip returns another letter of the alphabet.
-func flip(b byte) string {
+// differentLetter returns a letter of the base64 alphabet other than b.
+func differentLetter(b byte) string {
 	if b == 'A' {
 		return "B"
 	}
@@ -67,9 +67,9 @@
 		f.Fatal(err)
 	}
 	f.Add(id[:10])
-	f.Fuzz(func(t *testing.T, text string) {
-		if _, err := s.Open("north", text); err == nil && text != id {
-			t.Errorf("opened %q", text)
+	f.Fuzz(func(t *testing.T, candidate string) {
+		if _, err := s.Open("north", candidate); err == nil && candidate != id {
+			t.Errorf("opened %q, which was not sealed", candidate)
 		}
 	})
 }
--- a/core/token/doc.go
+++ b/core/token/doc.go
@@ -1,7 +1,8 @@
-// Package token seals the event ids of token streams.
+// Package token encodes and decodes the event ids of token streams.
 //
-// An id names the request, its engine and how far the stream has come, so
-// that any instance can go on after it. Ids are encrypted and authenticated
-// with the fleet's key: callers can neither read nor forge them, and an id is
-// bound to the organisation that it was issued to.
+// An id holds the request, its engine and the position in the stream, so that
+// any instance can resume the stream after that event. Ids are encrypted and
+// authenticated with a key derived from the fleet's secret: callers can neither
+// read nor forge them, and an id is valid only for the organisation to which it
+// was issued.
 package token
