--- a/core/wire/codec.go
+++ b/core/wire/codec.go
@@ -7,13 +7,13 @@
 	"github.com/pkg/errors"
 )
 
-// MaxSize bounds one encoded message, in bytes.
+// MaxSize limits one encoded message, in bytes.
 const MaxSize = 16 << 20
 
-// ErrEmpty is returned for an encoding that holds no known message.
-var ErrEmpty = errors.New("no known message")
+// ErrEmpty is returned for an encoding that holds no message of a known type.
+var ErrEmpty = errors.New("no message of a known type")
 
-// envelope holds exactly one message.
+// envelope is the encoded form of a message: exactly one field is set, and its key tells the type.
 type envelope struct {
 	Gossip     *Gossip     `cbor:"1,keyasint,omitempty"`
 	PullConfig *PullConfig `cbor:"2,keyasint,omitempty"`
@@ -31,7 +31,7 @@
 	Pages      *Pages      `cbor:"14,keyasint,omitempty"`
 }
 
-// Decode returns the message of an encoding.
+// Decode returns the message that raw encodes.
 func Decode(raw []byte) (Message, error) {
 	var e envelope
 	if err := cbor.Unmarshal(raw, &e); err != nil {
@@ -80,7 +80,7 @@
 	return raw, nil
 }
 
-// wrap puts a message into its envelope.
+// wrap returns an envelope that holds the message.
 func wrap(m Message) envelope {
 	switch t := m.(type) {
 	case Gossip:
--- a/core/wire/codec_test.go
+++ b/core/wire/codec_test.go
@@ -8,8 +8,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// messages returns one of each message.
-func messages() map[string]Message {
+// sampleMessages returns a sample of each message type but Pull and Pages.
+func sampleMessages() map[string]Message {
 	return map[string]Message{
 		"gossip":      Gossip{From: member.Member{Name: "a", Incarnation: 3}, Revision: 7, Age: time.Second},
 		"pull-config": PullConfig{After: 3},
@@ -27,7 +27,7 @@
 }
 
 func TestCodec(t *testing.T) {
-	for name, m := range messages() {
+	for name, m := range sampleMessages() {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			raw, err := Encode(m)
@@ -40,7 +40,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range messages() {
+	for _, m := range sampleMessages() {
 		raw, err := Encode(m)
 		if err != nil {
 			f.Fatal(err)
@@ -53,7 +53,7 @@
 			return
 		}
 		if _, err := Encode(m); err != nil {
-			t.Errorf("decoded %x and cannot encode it: %v", raw, err)
+			t.Errorf("message decoded from %x cannot be encoded: %v", raw, err)
 		}
 	})
 }
--- a/core/wire/doc.go
+++ b/core/wire/doc.go
@@ -1,5 +1,5 @@
-// Package wire holds the messages that the system's own processes exchange.
+// Package wire defines the messages that instances send to each other.
 //
-// Messages form a sealed set. Encode and Decode turn one into CBOR and back;
-// everything else works on the typed values.
+// Messages form a sealed set of types. Encode and Decode convert them to CBOR
+// and back; all other code uses the typed values.
 package wire
