--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// Cell holds the current version of an immutable value.
+// Cell holds an immutable value that readers load without a lock and writers replace one at a time.
 type Cell[T any] struct {
 	current atomic.Pointer[T]
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// New returns a cell that holds a value.
+// New returns a cell with an initial value.
 func New[T any](value T) *Cell[T] {
 	c := &Cell[T]{changed: make(chan struct{})}
 	c.current.Store(&value)
@@ -26,12 +26,12 @@
 	return c.changed
 }
 
-// Load returns the current value without waiting.
+// Load returns the current value without locking.
 func (c *Cell[T]) Load() T {
 	return *c.current.Load()
 }
 
-// Update replaces the value by what change makes of it; changes are applied one at a time.
+// Update replaces the value with the result of change and returns it; concurrent updates run one at a time.
 func (c *Cell[T]) Update(change func(T) T) T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,9 +42,10 @@
 	return next
 }
 
-// Swap replaces the value that a pointer holds by what change makes of it, in the manner of Update but without a lock or notice; it returns false when change refuses.
+// Swap replaces the value behind p with the result of change. Unlike Update it takes no lock and notifies nobody. It
+// returns false, and leaves the value as it is, when change returns false.
 //
-// change runs again when another writer was faster, so it must have no effects of its own.
+// change runs again when another writer has replaced the value meanwhile, so it must have no side effects.
 func Swap[T any](p *atomic.Pointer[T], change func(T) (T, bool)) bool {
 	for {
 		old := p.Load()
--- a/core/cell/doc.go
+++ b/core/cell/doc.go
@@ -1,5 +1,3 @@
-// Package cell publishes immutable values to readers without locks.
-//
-// Readers load a pointer; writers copy, change and swap it one at a time, in
-// the manner of read-copy-update.
+// Package cell holds immutable values that are read without locks and replaced
+// by writers, as in read-copy-update.
 package cell
