--- a/core/meter/conn.go
+++ b/core/meter/conn.go
@@ -10,33 +10,33 @@
 // Dial connects to an address, as net.Dialer does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// conn is a connection whose bytes are counted.
-type conn struct {
+// countingConn is a connection that adds the bytes it reads and writes to byteCount.
+type countingConn struct {
 	net.Conn
-	total *metrics.Counter
+	byteCount *metrics.Counter
 }
 
-// Counted returns a dial function whose connections add their bytes in both directions to a counter.
-func Counted(dial Dial, total *metrics.Counter) Dial {
+// Counted returns a dial function whose connections add the bytes that they read and write to a counter.
+func Counted(dial Dial, byteCount *metrics.Counter) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c, total: total}, nil
+		return &countingConn{Conn: c, byteCount: byteCount}, nil
 	}
 }
 
-// Read counts what is received.
-func (c *conn) Read(b []byte) (int, error) {
+// Read counts the bytes received.
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.total.Add(n)
+	c.byteCount.Add(n)
 	return n, err
 }
 
-// Write counts what is sent.
-func (c *conn) Write(b []byte) (int, error) {
+// Write counts the bytes sent.
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.total.Add(n)
+	c.byteCount.Add(n)
 	return n, err
 }
