--- a/core/spill/doc.go
+++ b/core/spill/doc.go
@@ -1,2 +1,3 @@
-// Package spill writes log lines without ever blocking who logs.
+// Package spill writes log lines in the background, so that logging never
+// blocks the caller; lines beyond the buffer are dropped.
 package spill
--- a/core/spill/writer_test.go
+++ b/core/spill/writer_test.go
@@ -7,27 +7,27 @@
 	"github.com/frankban/quicktest"
 )
 
-// gate blocks each write until it is opened.
-type gate struct {
+// blockingWriter blocks each write until unblock is closed.
+type blockingWriter struct {
 	bytes.Buffer
-	taken chan struct{} // taken gets one value when the first write begins.
-	open  chan struct{}
+	started chan struct{} // started receives a value when the first write begins.
+	unblock chan struct{}
 }
 
-// Write waits for the gate.
-func (g *gate) Write(b []byte) (int, error) {
+// Write waits until unblock is closed.
+func (w *blockingWriter) Write(b []byte) (int, error) {
 	select {
-	case g.taken <- struct{}{}:
+	case w.started <- struct{}{}:
 	default:
 	}
-	<-g.open
-	return g.Buffer.Write(b)
+	<-w.unblock
+	return w.Buffer.Write(b)
 }
 
 func TestWriter(t *testing.T) {
 	cases := map[string]struct {
-		lines   int
-		dropped uint64
+		lines       int
+		wantDropped uint64
 	}{
 		"none":     {0, 0},
 		"some":     {3, 0},
@@ -36,19 +36,19 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			out := &gate{taken: make(chan struct{}, 1), open: make(chan struct{})}
+			out := &blockingWriter{started: make(chan struct{}, 1), unblock: make(chan struct{})}
 			w := New(out, 4)
 			for i := range test.lines {
 				_, err := w.Write([]byte("line\n"))
 				c.Assert(err, quicktest.IsNil)
 				if i == 0 {
-					<-out.taken
+					<-out.started
 				}
 			}
-			c.Assert(w.Dropped(), quicktest.Equals, test.dropped)
-			close(out.open)
+			c.Assert(w.Dropped(), quicktest.Equals, test.wantDropped)
+			close(out.unblock)
 			w.Close()
-			c.Assert(bytes.Count(out.Bytes(), []byte("\n")), quicktest.Equals, test.lines-int(test.dropped))
+			c.Assert(bytes.Count(out.Bytes(), []byte("\n")), quicktest.Equals, test.lines-int(test.wantDropped))
 		})
 	}
 }
