--- a/core/wait/doc.go
+++ b/core/wait/doc.go
@@ -1,3 +1,3 @@
-// Package wait holds the one way to wait for a time that a context may cut
-// short, and the loop of a controller.
+// Package wait provides a sleep that ends early with its context, and the
+// background loop of a controller.
 package wait
--- a/core/wait/loop.go
+++ b/core/wait/loop.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// Loop is a closure that runs until it is closed; controllers embed theirs.
+// Loop is a function that runs on its own goroutine until it is closed; a controller embeds its Loop.
 type Loop struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// Start runs a closure on a goroutine of its own; its context ends when the loop is closed.
+// Start runs a function on its own goroutine; its context ends when the loop is closed.
 func Start(run func(ctx context.Context)) *Loop {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Loop{cancel: cancel, done: make(chan struct{})}
@@ -19,13 +19,13 @@
 	return l
 }
 
-// Close ends the loop and waits for its last step.
+// Close cancels the context of the function and waits until it has returned.
 func (l *Loop) Close() {
 	l.cancel()
 	<-l.done
 }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that closes when the function has returned.
 func (l *Loop) Done() <-chan struct{} {
 	return l.done
 }
--- a/core/wait/loop_test.go
+++ b/core/wait/loop_test.go
@@ -9,17 +9,17 @@
 
 func TestLoop(t *testing.T) {
 	cases := map[string]struct {
-		run   func(ctx context.Context, step chan<- struct{})
-		close bool // close tells that the loop does not end by itself.
+		run   func(ctx context.Context, ended chan<- struct{})
+		close bool // close tells that the loop ends only when it is closed.
 	}{
-		"ends-by-itself": {run: func(_ context.Context, step chan<- struct{}) { close(step) }},
-		"until-closed":   {run: func(ctx context.Context, step chan<- struct{}) { <-ctx.Done(); close(step) }, close: true},
+		"ends-by-itself": {run: func(_ context.Context, ended chan<- struct{}) { close(ended) }},
+		"until-closed":   {run: func(ctx context.Context, ended chan<- struct{}) { <-ctx.Done(); close(ended) }, close: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			step := make(chan struct{})
-			l := Start(func(ctx context.Context) { test.run(ctx, step) })
+			ended := make(chan struct{})
+			l := Start(func(ctx context.Context) { test.run(ctx, ended) })
 			if test.close {
 				select {
 				case <-l.Done():
@@ -30,11 +30,11 @@
 			}
 			<-l.Done()
 			select {
-			case <-step:
+			case <-ended:
 			default:
-				c.Fatal("loop is done before its last step")
+				c.Fatal("loop is done before its function has returned")
 			}
-			l.Close() // A loop may be closed again.
+			l.Close() // Close may be called again.
 		})
 	}
 }
--- a/core/wait/wait.go
+++ b/core/wait/wait.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// For waits and tells whether the context still stands.
+// For waits for d and returns true, or returns false when the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
