--- a/entry/feed/feed.go
+++ b/entry/feed/feed.go
@@ -14,38 +14,56 @@
 )
 
 const (
-	watchers    = 2                       // watchers is the number of instances that ask the store for all; one may be lost at any time.
-	watchWait   = 700 * time.Millisecond  // watchWait is how long one watch waits; a store that dropped its history leaves watches without an answer, and changes have to be in force in 2 s.
-	callTimeout = 600 * time.Millisecond  // callTimeout bounds a list, and a watch beyond its wait.
-	backoffBase = 150 * time.Millisecond  // backoffBase is the first wait after a failed call.
-	backoffRest = 2400 * time.Millisecond // backoffRest is the wait of those that step in last: the others notice the return, unless they alone are cut off, and failed calls are paid for as well.
-	backoffMax  = 600 * time.Millisecond  // backoffMax bounds that wait, so that a store that returns is noticed well within two seconds.
-	dutyPause   = 100 * time.Millisecond  // dutyPause is the time between two looks at one's duty.
-	dutyKept    = 2500 * time.Millisecond // dutyKept is how long an instance that stepped in goes on.
-	stepInFirst = 1400 * time.Millisecond // stepInFirst is the age from which more instances ask the store; in a small fleet news passes from those that do within 1.3 s.
-	stepInMore  = 1700 * time.Millisecond // stepInMore is the age from which a quarter of the fleet does, and eight at the least.
-	stepInAll   = 2200 * time.Millisecond // stepInAll is the age from which all do.
-	perLevel    = 400 * time.Millisecond  // perLevel is added to both for each level of pulls between an instance and those that ask.
-	lostAfter   = 3 * time.Second         // lostAfter is the age from which the store counts as lost; entries lapse after three heartbeats of 1.2 s, and the loss of those that ask is over by then.
-	settle      = 2 * time.Second         // settle is how long after the store's return entries may still be missing.
+	// watcherCount is the number of instances that watch the store for the whole fleet; one may fail at any time.
+	watcherCount = 2
+	// watchWait is how long one watch waits for a change. A store that dropped its history leaves watches without
+	// an answer, and changes have to be applied within 2 s.
+	watchWait = 700 * time.Millisecond
+	// callTimeout bounds a list, and a watch beyond its wait.
+	callTimeout = 600 * time.Millisecond
+	// backoffBase is the delay after the first failed call.
+	backoffBase = 150 * time.Millisecond
+	// backoffStandby is the delay of the instances that take over last. It is long since failed calls are billed
+	// too, and since the others notice the return of the store, unless only they are cut off from it.
+	backoffStandby = 2400 * time.Millisecond
+	// backoffMax bounds the delay of all others, so that the return of the store is noticed well within 2 s.
+	backoffMax = 600 * time.Millisecond
+	// electionInterval is the time between two checks whether this instance has to query the store.
+	electionInterval = 100 * time.Millisecond
+	// takeoverTime is how long an instance that took over goes on after it was last elected.
+	takeoverTime = 2500 * time.Millisecond
+	// takeoverAgeFew is the age of the copy from which twice as many instances query the store. In a small fleet
+	// updates pass from the watchers to all others within 1.3 s.
+	takeoverAgeFew = 1400 * time.Millisecond
+	// takeoverAgeQuarter is the age from which a quarter of the fleet does so, and at least eight instances.
+	takeoverAgeQuarter = 1700 * time.Millisecond
+	// takeoverAgeAll is the age from which all instances do so.
+	takeoverAgeAll = 2200 * time.Millisecond
+	// delayPerLevel is added to these ages for each level of pulls after the first.
+	delayPerLevel = 400 * time.Millisecond
+	// unreachableAge is the age from which the store counts as unreachable. Entries expire after three missed
+	// heartbeats of 1.2 s, and failover from lost watchers takes less than this.
+	unreachableAge = 3 * time.Second
+	// settleTime is how long entries may still be missing after the store is reachable again.
+	settleTime = 2 * time.Second
 )
 
-// ErrForgotten is returned by a source that no longer holds the history after a revision.
-var ErrForgotten = errors.New("the store no longer holds that history")
+// ErrForgotten is returned by Watch when the store has dropped the history after the revision.
+var ErrForgotten = errors.New("store no longer holds the history after this revision")
 
-// Source reads one kind of stored objects.
+// Source reads objects of one kind from the store.
 type Source interface {
 	// List returns all objects.
 	List(ctx context.Context) (mirror.Page, error)
-	// Watch returns the changes after a revision, waiting up to a time for the first.
+	// Watch returns the changes after a revision; it waits for the first one for at most the given time.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (mirror.Page, error)
 }
 
-// Duties tells which instances ask the store for all.
+// Duties is the fleet as a feed uses it: it elects the instances that query the store.
 type Duties interface {
-	// Elected tells whether this instance is one of a few that act for all.
+	// Elected reports whether this instance is one of the count instances that act in a role for the whole fleet.
 	Elected(role string, count int) bool
-	// Push tells other members at once that there is news.
+	// Push notifies other members of a change at once.
 	Push()
 	// Size returns the number of instances.
 	Size() int
@@ -53,70 +71,71 @@
 
 // Settings configures a feed.
 type Settings struct {
-	Kind string
-	Pace time.Duration // Pace is the least time between two watches, since each is paid for.
+	Kind string        // Kind is the kind of the objects to follow.
+	Pace time.Duration // Pace is the least time between the starts of two calls, since each is billed.
 }
 
-// Feed follows one kind of stored objects.
+// Feed keeps a copy of all objects of one kind.
 type Feed struct {
 	*wait.Loop
-	settings Settings
-	source   Source
-	log      log.Interface
-	view     *cell.Cell[mirror.View]
-	duties   atomic.Pointer[Duties]
-	changes  *metrics.Counter
-	began    time.Time
-	asOf     atomic.Int64 // asOf is when the view was known to be the store's, in nanoseconds since began.
-	returned atomic.Int64 // returned is when that was known again after a loss.
+	settings    Settings
+	store       Source
+	log         log.Interface
+	view        *cell.Cell[mirror.View]
+	fleet       atomic.Pointer[Duties]
+	changes     *metrics.Counter
+	startTime   time.Time
+	confirmedAt atomic.Int64 // confirmedAt is when the view last matched the store, in nanoseconds since startTime.
+	recoveredAt atomic.Int64 // recoveredAt is the time of the first confirmation after an outage, likewise.
 }
 
-// New returns a feed that lists once and follows its source when its duties say so.
-func New(s Settings, source Source, logger log.Interface, set *metrics.Set) *Feed {
+// New returns a feed that lists all objects once and then watches the store whenever this instance is elected to.
+func New(s Settings, store Source, logger log.Interface, set *metrics.Set) *Feed {
 	f := &Feed{
-		settings: s,
-		source:   source,
-		log:      logger.WithField("kind", s.Kind),
-		view:     cell.New(mirror.View{}),
-		changes:  set.GetOrCreateCounter(`bramleywharf_feed_changes_total{kind="` + s.Kind + `"}`),
-		began:    time.Now(),
+		settings:  s,
+		store:     store,
+		log:       logger.WithField("kind", s.Kind),
+		view:      cell.New(mirror.View{}),
+		changes:   set.GetOrCreateCounter(`bramleywharf_feed_changes_total{kind="` + s.Kind + `"}`),
+		startTime: time.Now(),
 	}
-	f.returned.Store(int64(-settle))
+	f.recoveredAt.Store(int64(-settleTime))
 	set.NewGauge(`bramleywharf_feed_revision{kind="`+s.Kind+`"}`, func() float64 { return float64(f.View().At()) })
 	set.NewGauge(`bramleywharf_feed_age_seconds{kind="`+s.Kind+`"}`, func() float64 { return f.Age().Seconds() })
 	f.Loop = wait.Start(f.loop)
 	return f
 }
 
-// Age returns the time since the view was known to be the store's, by way of any instance.
+// Age returns the time since the view was last known to match the store, from this or any other instance's calls.
 func (f *Feed) Age() time.Duration {
-	return time.Since(f.began) - time.Duration(f.asOf.Load())
+	return time.Since(f.startTime) - time.Duration(f.confirmedAt.Load())
 }
 
-// Assign tells the feed its duties; before that it asks the store itself.
-func (f *Feed) Assign(d Duties) {
-	f.duties.Store(&d)
+// Assign sets the fleet that elects the instances to query the store; until then this one queries it.
+func (f *Feed) Assign(members Duties) {
+	f.fleet.Store(&members)
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next update of the view.
 func (f *Feed) Changed() <-chan struct{} {
 	return f.view.Changed()
 }
 
-// Kind returns the kind that is followed.
+// Kind returns the kind of the objects.
 func (f *Feed) Kind() string {
 	return f.settings.Kind
 }
 
-// Settled tells whether what the view lacks is gone, and not only lapsed while the store was away.
+// Settled reports whether an object that the view lacks is removed, and did not only expire while the store was
+// unreachable.
 func (f *Feed) Settled() bool {
-	return f.Age() < lostAfter && time.Since(f.began)-time.Duration(f.returned.Load()) >= settle
+	return f.Age() < unreachableAge && time.Since(f.startTime)-time.Duration(f.recoveredAt.Load()) >= settleTime
 }
 
-// Take merges a page from the store or a peer.
+// Take merges a page from the store or a peer into the view.
 func (f *Feed) Take(p mirror.Page, from string) {
-	now := f.view.Load()
-	if _, changed := now.WithPage(p); !changed && p.At <= now.At() {
+	current := f.view.Load()
+	if _, changed := current.WithPage(p); !changed && p.At <= current.At() {
 		return
 	}
 	changed := false
@@ -126,189 +145,196 @@
 	})
 	if changed {
 		f.changes.Inc()
-		f.log.WithFields(log.Fields{"from": from, "revision": p.At, "objects": len(p.Objects), "whole": p.Whole}).Debug("objects changed")
-		if d := f.duties.Load(); d != nil {
-			(*d).Push()
+		f.log.WithFields(log.Fields{"from": from, "revision": p.At, "objects": len(p.Objects), "whole": p.Whole}).
+			Debug("objects changed")
+		if members := f.fleet.Load(); members != nil {
+			(*members).Push()
 		}
 	}
 }
 
-// View returns the copy as it is.
+// View returns the current copy of the objects.
 func (f *Feed) View() mirror.View {
 	return f.view.Load()
 }
 
-// Confirm notes that the view was the store's some time ago.
+// Confirm records that the view matched the store the given time ago.
 func (f *Feed) Confirm(age time.Duration) {
-	now := time.Since(f.began)
-	at := now - age
+	now := time.Since(f.startTime)
+	asOf := now - age
 	for {
-		before := f.asOf.Load()
-		if int64(at) <= before {
+		previous := f.confirmedAt.Load()
+		if int64(asOf) <= previous {
 			return
 		}
-		if !f.asOf.CompareAndSwap(before, int64(at)) {
+		if !f.confirmedAt.CompareAndSwap(previous, int64(asOf)) {
 			continue
 		}
-		if gap := now - time.Duration(before); gap > lostAfter && before > 0 {
-			f.returned.Store(int64(now))
-			f.log.WithFields(log.Fields{"revision": f.View().At(), "gap-ms": gap.Milliseconds()}).Info("store is heard of again")
+		if gap := now - time.Duration(previous); gap > unreachableAge && previous > 0 {
+			f.recoveredAt.Store(int64(now))
+			f.log.WithFields(log.Fields{"revision": f.View().At(), "gap-ms": gap.Milliseconds()}).
+				Info("objects are current again")
 		}
 		return
 	}
 }
 
-// duty tells whether this instance has to ask the store, and until when it goes on with it.
-func (f *Feed) duty(kept time.Time) (bool, time.Time) {
-	d := f.duties.Load()
-	if d == nil {
-		return true, kept
+// shouldQuery reports whether this instance has to query the store, and returns the end of its takeover, which it
+// extends while this instance is elected to take over.
+func (f *Feed) shouldQuery(takeoverUntil time.Time) (bool, time.Time) {
+	members := f.fleet.Load()
+	if members == nil {
+		return true, takeoverUntil
 	}
 	role := "feed/" + f.settings.Kind
-	if (*d).Elected(role, watchers) {
-		return true, kept
+	if (*members).Elected(role, watcherCount) {
+		return true, takeoverUntil
 	}
 	now := time.Now()
-	size := (*d).Size()
-	age := f.Age() - time.Duration(levels(size)-1)*perLevel
-	if (*d).Elected(role, stepIn(age, size)) {
-		if now.After(kept) {
-			f.log.WithFields(log.Fields{"age-ms": age.Milliseconds(), "revision": f.View().At()}).Info("steps in to ask the store")
+	fleetSize := (*members).Size()
+	age := f.Age() - time.Duration(pullLevels(fleetSize)-1)*delayPerLevel
+	if (*members).Elected(role, queryingCount(age, fleetSize)) {
+		if now.After(takeoverUntil) {
+			f.log.WithFields(log.Fields{"age-ms": age.Milliseconds(), "revision": f.View().At()}).
+				Info("objects are stale; this instance queries the store as well")
 		}
-		return true, now.Add(dutyKept)
+		return true, now.Add(takeoverTime)
 	}
-	return now.Before(kept), kept
+	return now.Before(takeoverUntil), takeoverUntil
 }
 
-// stepIn returns how many instances ask the store when what is known has an age.
-func stepIn(age time.Duration, size int) int {
+// queryingCount returns how many instances of a fleet query the store when the copy has the given age.
+func queryingCount(age time.Duration, fleetSize int) int {
 	switch {
-	case age > stepInAll:
-		return size
-	case age > stepInMore:
-		return more(size)
-	case age > stepInFirst:
-		return 2 * watchers
+	case age > takeoverAgeAll:
+		return fleetSize
+	case age > takeoverAgeQuarter:
+		return takeoverCount(fleetSize)
+	case age > takeoverAgeFew:
+		return 2 * watcherCount
 	default:
-		return watchers
+		return watcherCount
 	}
 }
 
-// more returns how many instances ask the store at once where the few that always do cannot reach it.
-func more(size int) int {
-	return max(4*watchers, size/4)
+// takeoverCount returns how many instances of a fleet query the store when the first to take over did not reach it.
+func takeoverCount(fleetSize int) int {
+	return max(4*watcherCount, fleetSize/4)
 }
 
-// levels returns how often news is passed on until it has reached every instance of a fleet, at the most.
-func levels(size int) int {
-	count := 1
-	for reached := watchers * fanOut; reached < size; reached *= fanOut {
-		count++
+// pullLevels returns the largest number of pulls that pass an update from a watcher to any instance of a fleet.
+func pullLevels(fleetSize int) int {
+	levels := 1
+	for reached := watcherCount * fanOut; reached < fleetSize; reached *= fanOut {
+		levels++
 	}
-	return count
+	return levels
 }
 
-// loop lists and then watches while it is this instance's duty, again from the list when the history is gone.
+// loop lists once, then watches whenever this instance is elected to; it lists again when the history is gone.
 func (f *Feed) loop(ctx context.Context) {
-	s := asker{feed: f, pause: backoffBase}
+	w := watcher{feed: f, backoff: backoffBase}
 	for ctx.Err() == nil {
-		var onDuty bool
-		onDuty, s.kept = f.duty(s.kept)
-		if !onDuty && s.listed {
-			s.idle = true
-			wait.For(ctx, dutyPause)
+		var active bool
+		active, w.takeoverUntil = f.shouldQuery(w.takeoverUntil)
+		if !active && w.listed {
+			w.wasIdle = true
+			wait.For(ctx, electionInterval)
 			continue
 		}
-		s.step(ctx)
+		w.queryOnce(ctx)
 	}
 }
 
-// asker is what one feed remembers between its calls.
-type asker struct {
-	feed   *Feed
-	at     uint64 // at is the revision to watch from.
-	listed bool   // listed tells that at is known.
-	idle   bool   // idle tells that others asked meanwhile.
-	lost   bool   // lost tells that calls fail, so that one line is logged for a series.
-	pause  time.Duration
-	kept   time.Time // kept is until when a duty that was stepped into goes on.
+// watcher is the state that one feed keeps between its calls of the store.
+type watcher struct {
+	feed          *Feed
+	revision      uint64 // revision is where the next watch starts.
+	listed        bool   // listed is true once revision is known.
+	wasIdle       bool   // wasIdle is true after other instances queried the store for this one.
+	failing       bool   // failing is true while calls fail, so that each series of failures logs one line.
+	backoff       time.Duration
+	takeoverUntil time.Time // takeoverUntil is when this instance stops querying if it is not elected again.
 }
 
-// step makes one call and waits until the next may be made.
-func (s *asker) step(ctx context.Context) {
-	f := s.feed
-	began := time.Now()
-	if s.idle {
-		s.idle = false
-		s.at = max(s.at, f.View().At())
+// queryOnce makes one call, handles its result and waits until the next call is due.
+func (w *watcher) queryOnce(ctx context.Context) {
+	f := w.feed
+	start := time.Now()
+	if w.wasIdle {
+		w.wasIdle = false
+		w.revision = max(w.revision, f.View().At())
 	}
-	page, err := s.call(ctx)
+	page, err := w.listOrWatch(ctx)
 	switch {
 	case ctx.Err() != nil:
 		return
 	case errors.Is(err, ErrForgotten):
-		f.log.WithField("revision", s.at).Info("history is gone; listing again")
-		s.listed = false
-		wait.For(ctx, f.settings.Pace-time.Since(began))
+		f.log.WithField("revision", w.revision).Info("store no longer holds the history; listing again")
+		w.listed = false
+		wait.For(ctx, f.settings.Pace-time.Since(start))
 		return
 	case err != nil:
-		s.fail(err)
-		wait.For(ctx, s.backoff())
+		w.recordFailure(err)
+		wait.For(ctx, w.nextBackoff())
 		return
 	}
-	s.succeed(page, began)
-	wait.For(ctx, f.settings.Pace-time.Since(began))
+	w.recordSuccess(page, start)
+	wait.For(ctx, f.settings.Pace-time.Since(start))
 }
 
-// call lists or watches once; a watch that gets no answer is followed by a list, since the history may be gone.
-func (s *asker) call(ctx context.Context) (mirror.Page, error) {
-	if !s.listed {
+// listOrWatch makes one call; a failed watch is followed by a list, since the store leaves a watch without an answer
+// when the history is gone.
+func (w *watcher) listOrWatch(ctx context.Context) (mirror.Page, error) {
+	if !w.listed {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		return s.feed.source.List(ctx)
+		return w.feed.store.List(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
-	page, err := s.feed.source.Watch(ctx, s.at, watchWait)
+	page, err := w.feed.store.Watch(ctx, w.revision, watchWait)
 	if err != nil {
-		s.listed = false
+		w.listed = false
 	}
 	return page, err
 }
 
-// backoff returns how long to wait after a failed call.
-func (s *asker) backoff() time.Duration {
-	f := s.feed
-	if d := f.duties.Load(); d != nil && !(*d).Elected("feed/"+f.settings.Kind, more((*d).Size())) {
-		return backoffRest
+// nextBackoff returns the delay after a failed call and doubles it for the next, up to backoffMax.
+func (w *watcher) nextBackoff() time.Duration {
+	f := w.feed
+	if members := f.fleet.Load(); members != nil &&
+		!(*members).Elected("feed/"+f.settings.Kind, takeoverCount((*members).Size())) {
+		return backoffStandby
 	}
-	pause := s.pause
-	s.pause = min(2*pause, backoffMax)
-	return pause
+	backoff := w.backoff
+	w.backoff = min(2*backoff, backoffMax)
+	return backoff
 }
 
-// fail notes a failed call.
-func (s *asker) fail(err error) {
-	if !s.lost {
-		s.lost = true
-		s.feed.log.WithError(err).WithField("revision", s.at).Warn("store lost")
+// recordFailure logs the first failed call of a series.
+func (w *watcher) recordFailure(err error) {
+	if !w.failing {
+		w.failing = true
+		w.feed.log.WithError(err).WithField("revision", w.revision).Warn("store is unreachable; trying again")
 	}
 }
 
-// succeed takes a page of the store.
-func (s *asker) succeed(p mirror.Page, began time.Time) {
-	f := s.feed
-	if s.lost {
-		s.lost = false
-		f.log.WithField("revision", p.At).Info("store answers")
+// recordSuccess merges the page of a call that began at start. A watch confirms the view as of its answer, a list
+// only as of its start.
+func (w *watcher) recordSuccess(p mirror.Page, start time.Time) {
+	f := w.feed
+	if w.failing {
+		w.failing = false
+		f.log.WithField("revision", p.At).Info("store is reachable again")
 	}
-	s.pause = backoffBase
-	asOf := began
-	if s.listed {
+	w.backoff = backoffBase
+	asOf := start
+	if w.listed {
 		asOf = time.Now()
 	}
-	s.listed = true
-	s.at = max(s.at, p.At)
+	w.listed = true
+	w.revision = max(w.revision, p.At)
 	f.Confirm(time.Since(asOf))
 	f.Take(p, "store")
 }
--- a/entry/feed/feed_test.go
+++ b/entry/feed/feed_test.go
@@ -15,118 +15,125 @@
 	"github.com/pkg/errors"
 )
 
-// errDown is what a source that is down returns.
-var errDown = errors.New("down")
+// errUnreachable is returned by a store that is unreachable.
+var errUnreachable = errors.New("store is unreachable")
 
-// source is a store whose answers a test sets.
-type source struct {
+// fakeStore is a store whose responses a test sets.
+type fakeStore struct {
 	mu    sync.Mutex
 	page  mirror.Page
-	fail  error
-	mute  bool // mute watches get no answer.
+	err   error
+	hang  bool // hang leaves watches without a response.
 	calls int
 }
 
-// List returns all objects.
-func (s *source) List(context.Context) (mirror.Page, error) {
+// List returns the whole page; dropped history does not affect it.
+func (s *fakeStore) List(context.Context) (mirror.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	page := s.page
 	page.Whole = true
-	if errors.Is(s.fail, ErrForgotten) {
+	if errors.Is(s.err, ErrForgotten) {
 		return page, nil
 	}
-	return page, s.fail
+	return page, s.err
 }
 
-// Watch returns what changed, waiting up to a time.
-func (s *source) Watch(ctx context.Context, after uint64, wait time.Duration) (mirror.Page, error) {
+// Watch returns the page once it is newer than after, or an empty one after the wait.
+func (s *fakeStore) Watch(ctx context.Context, after uint64, wait time.Duration) (mirror.Page, error) {
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
-	for end := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
-		page, fail, mute := s.page, s.fail, s.mute
+		page, err, hang := s.page, s.err, s.hang
 		s.mu.Unlock()
 		switch {
-		case fail != nil:
-			return mirror.Page{}, fail
-		case mute:
+		case err != nil:
+			return mirror.Page{}, err
+		case hang:
 			<-ctx.Done()
 			return mirror.Page{}, ctx.Err()
 		case page.At > after:
 			return page, nil
-		case time.Now().After(end):
+		case time.Now().After(deadline):
 			return mirror.Page{At: page.At}, nil
 		}
 	}
 }
 
-// set changes the store.
-func (s *source) set(change func(*source)) {
+// update changes the store under its lock.
+func (s *fakeStore) update(change func(*fakeStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// count returns the calls so far.
-func (s *source) count() int {
+// callCount returns the number of calls so far.
+func (s *fakeStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// duties elects an instance or not.
-type duties struct {
-	first, all bool // first tells whether it is one of the few; all whether it is one of more.
+// fleet is a small fleet that elects the instance as a watcher, with the first that take over, or later.
+type fleet struct {
+	isWatcher, takesOverFirst bool
 }
 
-// Elected tells whether the instance is one of a few.
-func (d duties) Elected(_ string, count int) bool {
-	return d.first || d.all && count > watchers || count > 2*watchers
+// Elected reports whether the instance is one of count.
+func (f fleet) Elected(_ string, count int) bool {
+	return f.isWatcher || f.takesOverFirst && count > watcherCount || count > 2*watcherCount
 }
 
-// Size returns that of a small fleet.
-func (d duties) Size() int { return 7 }
+// Size returns the size of a small fleet.
+func (f fleet) Size() int { return 7 }
 
 // Push does nothing.
-func (d duties) Push() {}
+func (f fleet) Push() {}
 
 func TestFeed(t *testing.T) {
-	one := mirror.Page{At: 5, Objects: []mirror.Object{{Name: "a", Revision: 5}}}
-	two := mirror.Page{At: 7, Objects: []mirror.Object{{Name: "a", Revision: 5}, {Name: "b", Revision: 7}}}
+	initial := mirror.Page{At: 5, Objects: []mirror.Object{{Name: "a", Revision: 5}}}
+	updated := mirror.Page{At: 7, Objects: []mirror.Object{{Name: "a", Revision: 5}, {Name: "b", Revision: 7}}}
 	cases := map[string]struct {
-		duties  Duties
-		disturb func(*source)
-		within  time.Duration // within bounds the time until the second object is known; 0 means never.
+		fleet  Duties
+		change func(*fakeStore)
+		within time.Duration // within bounds the time until the update is received; 0 means that it is not.
 	}{
-		"watcher":                 {duties{first: true}, func(*source) {}, 100 * time.Millisecond},
-		"watcher-muted":           {duties{first: true}, func(s *source) { s.mute = true }, 2 * time.Second},
-		"watcher-history-gone":    {duties{first: true}, func(s *source) { s.fail = ErrForgotten }, 300 * time.Millisecond},
-		"watcher-down":            {duties{first: true}, func(s *source) { s.fail = errDown }, 0},
-		"steps-in-early":          {duties{all: true}, func(*source) {}, stepInFirst + 200*time.Millisecond},
-		"steps-in-with-all":       {duties{}, func(*source) {}, stepInMore + 200*time.Millisecond},
-		"not-assigned-yet":        {nil, func(*source) {}, 100 * time.Millisecond},
-		"steps-in-while-muted":    {duties{}, func(s *source) { s.mute = true }, stepInMore + 2*time.Second},
-		"not-assigned-and-silent": {nil, func(s *source) { s.mute = true }, 2 * time.Second},
+		"watcher":               {fleet{isWatcher: true}, func(*fakeStore) {}, 100 * time.Millisecond},
+		"watcher-hanging-watch": {fleet{isWatcher: true}, func(s *fakeStore) { s.hang = true }, 2 * time.Second},
+		"watcher-history-gone": {
+			fleet{isWatcher: true}, func(s *fakeStore) { s.err = ErrForgotten }, 300 * time.Millisecond,
+		},
+		"watcher-store-unreachable": {fleet{isWatcher: true}, func(s *fakeStore) { s.err = errUnreachable }, 0},
+		"takes-over-first": {
+			fleet{takesOverFirst: true}, func(*fakeStore) {}, takeoverAgeFew + 200*time.Millisecond,
+		},
+		"takes-over-with-a-quarter": {fleet{}, func(*fakeStore) {}, takeoverAgeQuarter + 200*time.Millisecond},
+		"no-fleet":                  {nil, func(*fakeStore) {}, 100 * time.Millisecond},
+		"takes-over-hanging-watch":  {fleet{}, func(s *fakeStore) { s.hang = true }, takeoverAgeQuarter + 2*time.Second},
+		"no-fleet-hanging-watch":    {nil, func(s *fakeStore) { s.hang = true }, 2 * time.Second},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				time.Sleep(time.Millisecond)
-				s := &source{page: one}
-				f := New(Settings{Kind: "k", Pace: 100 * time.Millisecond}, s, &log.Logger{Handler: discard.New()}, metrics.NewSet())
+				s := &fakeStore{page: initial}
+				f := New(
+					Settings{Kind: "k", Pace: 100 * time.Millisecond}, s,
+					&log.Logger{Handler: discard.New()}, metrics.NewSet(),
+				)
 				defer f.Close()
 				time.Sleep(time.Second)
 				c.Assert(f.View().At(), quicktest.Equals, uint64(5))
-				if test.duties != nil {
-					f.Assign(test.duties)
+				if test.fleet != nil {
+					f.Assign(test.fleet)
 				}
 				f.Confirm(0)
-				s.set(test.disturb)
-				s.set(func(s *source) { s.page = two })
+				s.update(test.change)
+				s.update(func(s *fakeStore) { s.page = updated })
 				if test.within > 0 {
 					time.Sleep(test.within)
 					c.Assert(f.View().At(), quicktest.Equals, uint64(7))
@@ -135,107 +142,115 @@
 				time.Sleep(5 * time.Second)
 				c.Assert(f.View().At(), quicktest.Equals, uint64(5))
 				c.Assert(f.Settled(), quicktest.IsFalse)
-				s.set(func(s *source) { s.fail = nil })
+				s.update(func(s *fakeStore) { s.err = nil })
 				time.Sleep(time.Second)
 				c.Assert(f.View().At(), quicktest.Equals, uint64(7))
 				c.Assert(f.Settled(), quicktest.IsFalse)
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				c.Assert(f.Settled(), quicktest.IsTrue)
 			})
 		})
 	}
 }
 
-// TestCalls checks that an instance without duties makes no calls while others keep it informed.
+// TestCalls checks that an instance that is not elected makes no calls while others keep its copy up to date.
 func TestCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		time.Sleep(time.Millisecond)
-		s := &source{page: mirror.Page{At: 5}}
+		s := &fakeStore{page: mirror.Page{At: 5}}
 		f := New(Settings{Kind: "k", Pace: 100 * time.Millisecond}, s, &log.Logger{Handler: discard.New()}, metrics.NewSet())
 		defer f.Close()
 		time.Sleep(100 * time.Millisecond)
-		f.Assign(duties{})
+		f.Assign(fleet{})
 		time.Sleep(time.Second)
-		before := s.count()
+		before := s.callCount()
 		for range 100 {
 			f.Confirm(200 * time.Millisecond)
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.Assert(s.count()-before <= 1, quicktest.IsTrue, quicktest.Commentf("%d calls", s.count()-before))
+		c.Assert(s.callCount()-before <= 1, quicktest.IsTrue, quicktest.Commentf("%d calls", s.callCount()-before))
 		c.Assert(f.Settled(), quicktest.IsTrue)
 	})
 }
 
-// place is an instance's place in the order of a fleet.
-type place struct {
-	place, size int
+// rank is a fleet of a size in which the instance has a fixed rank.
+type rank struct {
+	rank, size int
 }
 
-// Elected tells whether the instance is one of the first.
-func (p place) Elected(_ string, count int) bool { return p.place < count }
+// Elected reports whether the instance is one of the first count.
+func (r rank) Elected(_ string, count int) bool { return r.rank < count }
 
 // Size returns the size of the fleet.
-func (p place) Size() int { return p.size }
+func (r rank) Size() int { return r.size }
 
 // Push does nothing.
-func (p place) Push() {}
+func (r rank) Push() {}
 
-// TestOutageCalls checks what an instance asks of a store that refuses every call for ten seconds, and when it notices the return.
+// TestOutageCalls checks how many calls an instance makes while the store rejects every call for ten seconds, and how
+// soon it notices that the store is reachable again.
 func TestOutageCalls(t *testing.T) {
 	cases := map[string]struct {
-		place  place
-		calls  int           // calls bounds those during the outage.
-		notice time.Duration // notice bounds the time until the store's return is known.
+		rank        rank
+		calls       int           // calls bounds the calls during the outage.
+		maxRecovery time.Duration // maxRecovery bounds the time until an update is received after the outage.
 	}{
-		"watcher":         {place{0, 89}, 40, backoffMax},
-		"one-of-more":     {place{20, 89}, 25, backoffMax},
-		"one-of-the-rest": {place{70, 89}, 5, backoffRest},
-		"small-fleet":     {place{6, 7}, 25, backoffMax},
+		"watcher":                  {rank{0, 89}, 40, backoffMax},
+		"in-the-first-quarter":     {rank{20, 89}, 25, backoffMax},
+		"beyond-the-first-quarter": {rank{70, 89}, 5, backoffStandby},
+		"small-fleet":              {rank{6, 7}, 25, backoffMax},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				time.Sleep(time.Millisecond)
-				s := &source{page: mirror.Page{At: 5}}
-				f := New(Settings{Kind: "k", Pace: 100 * time.Millisecond}, s, &log.Logger{Handler: discard.New()}, metrics.NewSet())
+				s := &fakeStore{page: mirror.Page{At: 5}}
+				f := New(
+					Settings{Kind: "k", Pace: 100 * time.Millisecond}, s,
+					&log.Logger{Handler: discard.New()}, metrics.NewSet(),
+				)
 				defer f.Close()
-				f.Assign(test.place)
+				f.Assign(test.rank)
 				time.Sleep(time.Second)
-				before := s.count()
-				s.set(func(s *source) { s.fail = errDown })
+				before := s.callCount()
+				s.update(func(s *fakeStore) { s.err = errUnreachable })
 				time.Sleep(10 * time.Second)
-				calls := s.count() - before
+				calls := s.callCount() - before
 				c.Assert(calls > 0 && calls <= test.calls, quicktest.IsTrue, quicktest.Commentf("%d calls", calls))
-				s.set(func(s *source) { s.fail, s.page = nil, mirror.Page{At: 7} })
-				time.Sleep(test.notice + 50*time.Millisecond)
+				s.update(func(s *fakeStore) { s.err, s.page = nil, mirror.Page{At: 7} })
+				time.Sleep(test.maxRecovery + 50*time.Millisecond)
 				c.Assert(f.View().At(), quicktest.Equals, uint64(7))
 			})
 		})
 	}
 }
 
-// TestSettled checks which silences make missing entries doubtful: those in which entries may have lapsed, not the loss of the instances that ask.
+// TestSettled checks that a gap in which entries may have expired unsettles a feed, and that a gap while others take
+// over from lost watchers does not.
 func TestSettled(t *testing.T) {
 	cases := map[string]struct {
 		gap  time.Duration
 		want bool
 	}{
-		"askers-lost":  {2500 * time.Millisecond, true},
-		"store-away":   {3500 * time.Millisecond, false},
-		"nothing-lost": {500 * time.Millisecond, true},
+		"watchers-lost":     {2500 * time.Millisecond, true},
+		"store-unreachable": {3500 * time.Millisecond, false},
+		"nothing-lost":      {500 * time.Millisecond, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Millisecond)
-				s := &source{page: mirror.Page{At: 5}}
-				f := New(Settings{Kind: "k", Pace: 100 * time.Millisecond}, s, &log.Logger{Handler: discard.New()}, metrics.NewSet())
+				s := &fakeStore{page: mirror.Page{At: 5}}
+				f := New(
+					Settings{Kind: "k", Pace: 100 * time.Millisecond}, s,
+					&log.Logger{Handler: discard.New()}, metrics.NewSet(),
+				)
 				defer f.Close()
-				f.Assign(duties{})
+				f.Assign(fleet{})
 				time.Sleep(time.Second)
-				s.set(func(s *source) { s.fail = errDown })
+				s.update(func(s *fakeStore) { s.err = errUnreachable })
 				f.Confirm(0)
 				time.Sleep(test.gap)
 				f.Confirm(0)
@@ -247,15 +262,15 @@
 
 func TestLevels(t *testing.T) {
 	cases := map[string]struct{ size, want int }{
-		"alone":       {1, 1},
-		"today":       {7, 1},
-		"one-level":   {16, 1},
-		"two-levels":  {89, 2},
-		"design-size": {410, 3},
+		"one-instance":      {1, 1},
+		"small-fleet":       {7, 1},
+		"one-full-level":    {16, 1},
+		"two-levels":        {89, 2},
+		"largest-supported": {410, 3},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Assert(t, levels(test.size), quicktest.Equals, test.want)
+			quicktest.Assert(t, pullLevels(test.size), quicktest.Equals, test.want)
 		})
 	}
 }
@@ -266,33 +281,34 @@
 		size int
 		want int
 	}{
-		"fresh":           {time.Second, 89, watchers},
-		"a-little-old":    {1500 * time.Millisecond, 89, 2 * watchers},
-		"old":             {1800 * time.Millisecond, 89, 22},
-		"old-small-fleet": {1800 * time.Millisecond, 7, 4 * watchers},
-		"very-old":        {3 * time.Second, 89, 89},
+		"fresh":                  {time.Second, 89, watcherCount},
+		"slightly-stale":         {1500 * time.Millisecond, 89, 2 * watcherCount},
+		"stale":                  {1800 * time.Millisecond, 89, 22},
+		"stale-in-a-small-fleet": {1800 * time.Millisecond, 7, 4 * watcherCount},
+		"very-stale":             {3 * time.Second, 89, 89},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Assert(t, stepIn(test.age, test.size), quicktest.Equals, test.want)
+			quicktest.Assert(t, queryingCount(test.age, test.size), quicktest.Equals, test.want)
 		})
 	}
 }
 
-// TestTurns checks that the statements that a pull brings stay bounded on the mean, and that small fleets exchange them at each pull.
+// TestTurns checks that small fleets exchange load reports at each pull, and that the average number of reports per
+// pull stays bounded in larger ones.
 func TestTurns(t *testing.T) {
 	cases := map[string]struct{ size, want int }{
-		"alone":       {1, 1},
-		"today":       {7, 1},
-		"small":       {16, 1},
-		"twenty":      {20, loadTurn},
-		"grown":       {89, loadTurn},
-		"large":       {300, 10},
-		"design-size": {410, 14},
+		"one-instance":      {1, 1},
+		"small-fleet":       {7, 1},
+		"small-fleet-limit": {16, 1},
+		"above-small-fleet": {20, minPullsPerLoadExchange},
+		"medium":            {89, minPullsPerLoadExchange},
+		"large":             {300, 10},
+		"largest-supported": {410, 14},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Assert(t, turnsFor(test.size), quicktest.Equals, test.want)
+			quicktest.Assert(t, pullsPerLoadExchange(test.size), quicktest.Equals, test.want)
 		})
 	}
 }
--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -17,58 +17,67 @@
 )
 
 const (
-	swapPeriod  = 400 * time.Millisecond // swapPeriod is the time between two pulls; news that was not pushed passes an instance in that time.
-	fanOut      = 8                      // fanOut is the number of instances that pull from one: 20 pulls a second take about one in a hundred of a small machine's time.
-	smallFleet  = 16                     // smallFleet is the size up to which loads are exchanged at each pull.
-	loadTurn    = 3                      // loadTurn is the least number of pulls of a larger fleet for one that exchanges loads.
-	loadsAtOnce = 30                     // loadsAtOnce is how many statements a pull may bring on the mean, which bounds bytes and processor time in a fleet of any size.
-	swapTimeout = 500 * time.Millisecond // swapTimeout bounds one pull.
+	// pullInterval is the time between two pulls. An update that no heartbeat announced passes one level of pulls in
+	// this time.
+	pullInterval = 400 * time.Millisecond
+	// fanOut is the number of instances that pull from one: 20 pulls a second take about 1 % of a small machine's
+	// processor time.
+	fanOut = 8
+	// smallFleetSize is the number of instances up to which every pull exchanges loads.
+	smallFleetSize = 16
+	// minPullsPerLoadExchange is the least number of pulls from one exchange of loads to the next in a larger fleet.
+	minPullsPerLoadExchange = 3
+	// loadsPerPull is the average number of load reports that a pull may return. It bounds bytes and processor time
+	// in a fleet of any size.
+	loadsPerPull = 30
+	// pullTimeout bounds one pull.
+	pullTimeout = 500 * time.Millisecond
 )
 
-// Members gives the instances to pull from.
+// Members returns the instances to pull from.
 type Members interface {
 	// Self returns this instance.
 	Self() member.Member
-	// View returns the members.
+	// View returns all members.
 	View() member.View
 }
 
-// Loads knows what all instances have running at targets.
+// Loads holds the newest load report of each instance: what that instance has running at targets.
 type Loads interface {
-	// Known tells which statements of other instances are held.
+	// Known returns the sequence numbers of the reports of other instances.
 	Known() []wire.Said
-	// Merge takes statements.
+	// Merge takes reports from a peer.
 	Merge(loads []wire.Load)
-	// Newer returns the statements that a peer lacks.
+	// Newer returns the reports that a peer lacks.
 	Newer(known []wire.Said) []wire.Load
-	// Own returns a new statement of this instance.
+	// Own returns a new report of this instance.
 	Own() wire.Load
-	// Expect takes the time in which statements come anew.
+	// Expect sets the time between two exchanges of reports.
 	Expect(period time.Duration)
 }
 
-// Swap exchanges the copies of feeds, and the loads of targets, with peers.
+// Swap exchanges the objects of feeds and the load reports of instances with peers.
 type Swap struct {
 	*wait.Loop
-	feeds []*Feed
-	loads Loads
-	net   peer.Net
-	log   log.Interface
-	heard chan string
+	feeds      []*Feed
+	loads      Loads
+	net        peer.Net
+	log        log.Interface
+	newerPeers chan string // newerPeers passes on the address of a peer that has a newer revision.
 
-	turn int // turn counts the pulls.
-	size int // size is the number of live members at the last pull.
+	pullCount int // pullCount counts the pulls at intervals.
+	fleetSize int // fleetSize is the number of live members at the last of these pulls.
 
-	mu     sync.Mutex
-	oldest bool // oldest tells that pulls fail, so that one line is logged for a series.
+	mu      sync.Mutex
+	failing bool // failing is true while pulls fail, so that each series of failures logs one line.
 }
 
-// NewSwap returns a swap that answers pulls; Start begins to pull.
+// NewSwap returns a Swap that answers pulls; it makes its own pulls after Start.
 func NewSwap(net peer.Net, loads Loads, logger log.Interface, feeds ...*Feed) *Swap {
-	return &Swap{feeds: feeds, loads: loads, net: net, log: logger, heard: make(chan string, 1)}
+	return &Swap{feeds: feeds, loads: loads, net: net, log: logger, newerPeers: make(chan string, 1)}
 }
 
-// Start begins to pull from the members.
+// Start begins to pull from members.
 func (s *Swap) Start(members Members) {
 	s.Loop = wait.Start(func(ctx context.Context) {
 		s.loop(ctx, members)
@@ -95,7 +104,7 @@
 		for _, f := range s.feeds {
 			if f.Kind() == mark.Kind {
 				age := f.Age()
-				page := encode(mark.Kind, f.View().Since(mark.At))
+				page := pageToWire(mark.Kind, f.View().Since(mark.At))
 				page.Age = age
 				pages.Pages = append(pages.Pages, page)
 			}
@@ -104,13 +113,13 @@
 	return pages
 }
 
-// Heard takes what a peer's heartbeat says of its revision.
+// Heard requests a pull from a peer whose heartbeat reports a newer revision.
 func (s *Swap) Heard(address string, revision uint64, _ time.Duration) {
 	if revision <= s.Revision() {
 		return
 	}
 	select {
-	case s.heard <- address:
+	case s.newerPeers <- address:
 	default:
 	}
 }
@@ -124,41 +133,41 @@
 	return newest
 }
 
-// loop pulls from a random member at each period, and from one that has news when it is heard.
+// loop pulls from a random member at each interval, and at once from a peer that reported a newer revision.
 func (s *Swap) loop(ctx context.Context, members Members) {
-	tick := time.NewTicker(swapPeriod)
-	defer tick.Stop()
+	ticker := time.NewTicker(pullInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-s.heard:
+		case address := <-s.newerPeers:
 			s.Pull(ctx, address)
-			wait.For(ctx, swapPeriod/4)
-		case <-tick.C:
-			if address, ok := s.another(members); ok {
+			wait.For(ctx, pullInterval/4)
+		case <-ticker.C:
+			if address, ok := s.pickPeer(members); ok {
 				s.Pull(ctx, address)
 			}
 		}
 	}
 }
 
-// Pull takes what a peer knows beyond the own copies.
+// Pull fetches and merges what a peer has and this instance lacks; it reports whether the peer answered.
 func (s *Swap) Pull(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, swapTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	began := time.Now()
-	var question wire.Pull
-	if turns := turnsFor(s.size); s.turn%turns == 0 {
-		s.loads.Expect(time.Duration(turns) * swapPeriod)
-		question.Loads, question.Own, question.Known = true, s.loads.Own(), s.loads.Known()
+	start := time.Now()
+	var request wire.Pull
+	if every := pullsPerLoadExchange(s.fleetSize); s.pullCount%every == 0 {
+		s.loads.Expect(time.Duration(every) * pullInterval)
+		request.Loads, request.Own, request.Known = true, s.loads.Own(), s.loads.Known()
 	}
 	for _, f := range s.feeds {
-		question.Marks = append(question.Marks, wire.Mark{Kind: f.Kind(), At: f.View().At()})
+		request.Marks = append(request.Marks, wire.Mark{Kind: f.Kind(), At: f.View().At()})
 	}
-	answer, err := s.net.Ask(ctx, address, question)
-	s.note(address, err)
-	pages, ok := answer.(wire.Pages)
+	response, err := s.net.Ask(ctx, address, request)
+	s.logPullResult(address, err)
+	pages, ok := response.(wire.Pages)
 	if err != nil || !ok {
 		return false
 	}
@@ -166,61 +175,63 @@
 	for _, p := range pages.Pages {
 		for _, f := range s.feeds {
 			if f.Kind() == p.Kind {
-				f.Take(decode(p), address)
-				f.Confirm(p.Age + time.Since(began))
+				f.Take(pageFromWire(p), address)
+				f.Confirm(p.Age + time.Since(start))
 			}
 		}
 	}
 	return true
 }
 
-// turnsFor returns how many pulls of a fleet come to one that exchanges loads.
-func turnsFor(size int) int {
-	if size <= smallFleet {
+// pullsPerLoadExchange returns n for a fleet in which every nth pull exchanges load reports.
+func pullsPerLoadExchange(fleetSize int) int {
+	if fleetSize <= smallFleetSize {
 		return 1
 	}
-	return max(loadTurn, (size+loadsAtOnce-1)/loadsAtOnce)
+	return max(minPullsPerLoadExchange, (fleetSize+loadsPerPull-1)/loadsPerPull)
 }
 
-// note logs the first failed pull of a series and its end.
-func (s *Swap) note(address string, err error) {
+// logPullResult logs the first failed pull of a series and the first one that succeeds after it.
+func (s *Swap) logPullResult(address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if (err != nil) == s.oldest {
+	if (err != nil) == s.failing {
 		return
 	}
-	s.oldest = err != nil
+	s.failing = err != nil
 	if err != nil {
-		s.log.WithError(err).WithField("peer", address).Warn("pull from peer failed")
+		s.log.WithError(err).WithField("peer", address).Warn("pull from a peer failed; trying others")
 		return
 	}
-	s.log.WithField("peer", address).Info("pulls from peers work again")
+	s.log.WithField("peer", address).Info("pulls from peers succeed again")
 }
 
-// another returns the address of a member to pull from: one of those before it in the order of a kind, which begins with those that ask the store.
-func (s *Swap) another(members Members) (string, bool) {
+// pickPeer returns the address of a member to pull from. The members form a tree: each pulls from those that rank
+// above it for the kind, and the watchers of the store rank first.
+func (s *Swap) pickPeer(members Members) (string, bool) {
 	self := members.Self()
-	var live []string
+	var alive []string
 	for _, m := range members.View().Live() {
 		if m.State == member.Alive && m.Incarnation > 0 {
-			live = append(live, m.Name)
+			alive = append(alive, m.Name)
 		}
 	}
-	s.turn++
-	s.size = len(live)
-	order := route.Rank("feed/"+s.feeds[s.turn%len(s.feeds)].Kind(), live)
-	place := slices.Index(order, self.Name)
-	above := order[:min(max(watchers, (place+fanOut-1)/fanOut), len(order))]
-	above = slices.DeleteFunc(slices.Clone(above), func(name string) bool { return name == self.Name })
-	if len(above) == 0 {
+	s.pullCount++
+	s.fleetSize = len(alive)
+	ranking := route.Rank("feed/"+s.feeds[s.pullCount%len(s.feeds)].Kind(), alive)
+	rank := slices.Index(ranking, self.Name)
+	sources := ranking[:min(max(watcherCount, (rank+fanOut-1)/fanOut), len(ranking))]
+	sources = slices.DeleteFunc(slices.Clone(sources), func(name string) bool { return name == self.Name })
+	if len(sources) == 0 {
 		return "", false
 	}
-	m, ok := members.View().Get(nearest(members.View(), self.Domain, above))
+	m, ok := members.View().Get(randomNear(members.View(), self.Domain, sources))
 	return m.PeerAddress, ok
 }
 
-// nearest returns a random name of the own failure domain, since bytes between domains are paid for, or any when there is none.
-func nearest(view member.View, domain string, names []string) string {
+// randomNear returns a random name of the own failure domain, since traffic between domains is billed, or any name
+// when there is none.
+func randomNear(view member.View, domain string, names []string) string {
 	near := slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		m, _ := view.Get(name)
 		return m.Domain != domain
@@ -231,20 +242,31 @@
 	return near[rand.IntN(len(near))]
 }
 
-// decode returns the page of a message.
-func decode(p wire.KindPage) mirror.Page {
+// pageFromWire decodes a page from a message.
+func pageFromWire(p wire.KindPage) mirror.Page {
 	page := mirror.Page{At: p.At}
 	for _, o := range p.Objects {
-		page.Objects = append(page.Objects, mirror.Object{Name: o.Name, Revision: o.Revision, Deleted: o.Deleted, Raw: o.Value})
+		page.Objects = append(page.Objects, mirror.Object{
+			Name:     o.Name,
+			Revision: o.Revision,
+			Deleted:  o.Deleted,
+			Raw:      o.Value,
+		})
 	}
 	return page
 }
 
-// encode returns the message of a page.
-func encode(kind string, p mirror.Page) wire.KindPage {
+// pageToWire encodes a page of a kind into a message.
+func pageToWire(kind string, p mirror.Page) wire.KindPage {
 	page := wire.KindPage{Kind: kind, At: p.At}
 	for _, o := range p.Objects {
-		page.Objects = append(page.Objects, wire.ConfigObject{Kind: kind, Name: o.Name, Revision: o.Revision, Deleted: o.Deleted, Value: o.Raw})
+		page.Objects = append(page.Objects, wire.ConfigObject{
+			Kind:     kind,
+			Name:     o.Name,
+			Revision: o.Revision,
+			Deleted:  o.Deleted,
+			Value:    o.Raw,
+		})
 	}
 	return page
 }
