--- a/entry/filter/check.go
+++ b/entry/filter/check.go
@@ -11,15 +11,15 @@
 // Bounds of one generation.
 const (
 	MaxPrompt = 4 << 20   // MaxPrompt bounds the text of a prompt, in bytes.
-	MaxTokens = 1_000_000 // MaxTokens bounds the tokens of an answer.
+	MaxTokens = 1_000_000 // MaxTokens bounds the number of tokens that a call may ask for.
 )
 
-// Check judges a call by the configuration in force.
+// Check validates a call against the current configuration.
 type Check struct{}
 
 var _ chain.Filter = Check{}
 
-// Handle passes calls on that the configuration allows, with its defaults filled in.
+// Handle passes on valid calls with the configured defaults filled in, and refuses others.
 func (Check) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
 	switch r := c.Request.(type) {
 	case chain.Generate:
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkGenerate judges a generation and fills in the model's default version.
+// checkGenerate validates a generation and fills in the model's default version.
 func checkGenerate(c chain.Call, r chain.Generate) (chain.Generate, *deny.Refusal) {
 	model, ok := c.Config.Model(r.Model)
 	if r.Version == "" {
@@ -53,7 +53,8 @@
 	case r.Adapter != "" && !slices.Contains(model.Adapters, r.Adapter):
 		refusal = deny.New(deny.KindUnknown, "model %s has no adapter %q", r.Model, r.Adapter)
 	case !c.Limit.Allows(r.Model, r.Adapter, r.Version):
-		refusal = deny.New(deny.KindForbidden, "the sheet does not let %s use %s/%s@%s", c.Organisation, r.Model, r.Adapter, r.Version)
+		refusal = deny.New(deny.KindForbidden, "the sheet does not let %s use %s/%s@%s",
+			c.Organisation, r.Model, r.Adapter, r.Version)
 	case r.Prompt == "":
 		refusal = deny.New(deny.KindMalformed, "prompt is empty")
 	case len(r.Prompt) > MaxPrompt:
--- a/entry/filter/doc.go
+++ b/entry/filter/doc.go
@@ -1,3 +1,3 @@
-// Package filter holds the filters that every call passes: record, identify,
-// check and limit.
+// Package filter holds the filters that calls pass on their way to a handler:
+// logging, metrics, authentication, validation, routing and limits.
 package filter
--- a/entry/filter/identify.go
+++ b/entry/filter/identify.go
@@ -11,31 +11,31 @@
 	"bramleywharf.example/entry/chain"
 )
 
-// queueRetry is what callers are told when engines are full.
-const queueRetry = 5 * time.Second
+// queueRetryAfter is the time after which callers should try again when all engines are full.
+const queueRetryAfter = 5 * time.Second
 
-// retryAfter is what callers are told when another instance or a moment may help.
+// retryAfter is the time after which callers should try again when another instance or a short wait may help.
 const retryAfter = time.Second
 
-// Source gives the configuration in force.
+// Source provides the configuration of generations and services.
 type Source interface {
-	// Current returns the snapshot in force, or an error while it cannot be known.
+	// Current returns the current snapshot, or an error while it is unknown or stale.
 	Current() (*conf.Snapshot, error)
 }
 
-// Identify finds the organisation that makes a call by its key.
+// Identify authenticates the organisation that makes a call by its key.
 type Identify struct {
 	source Source
 }
 
 var _ chain.Filter = (*Identify)(nil)
 
-// NewIdentify returns a filter that knows the organisations of a source.
+// NewIdentify returns a filter that looks up keys in the configuration of a source.
 func NewIdentify(source Source) *Identify {
 	return &Identify{source: source}
 }
 
-// Handle passes calls of known organisations on with the snapshot they are judged by.
+// Handle passes on calls of known organisations, with the snapshot and the limit that apply to them.
 func (i *Identify) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
 	snapshot, err := i.source.Current()
 	if err != nil {
--- a/entry/filter/limit.go
+++ b/entry/filter/limit.go
@@ -7,15 +7,15 @@
 	"bramleywharf.example/entry/chain"
 )
 
-// Ceilings lends slots of the organisations' ceilings.
+// Ceilings counts the generations of each organisation against its ceiling.
 type Ceilings interface {
-	// Acquire takes a slot of an organisation's ceiling until release is called.
+	// Acquire takes a slot of an organisation's ceiling, which is held until release is called.
 	Acquire(ctx context.Context, organisation string) (release func(), err error)
-	// Take takes a slot whether one is free or not.
+	// Take takes a slot even when none is free.
 	Take(organisation string) (release func())
 }
 
-// Limit holds generations to their organisation's ceiling; calls of plain services pass at once.
+// Limit enforces the ceiling on concurrent generations of each organisation; other calls pass at once.
 type Limit struct {
 	ceilings Ceilings
 }
@@ -27,7 +27,7 @@
 	return &Limit{ceilings: ceilings}
 }
 
-// Handle passes generations on that hold a slot; one that is resumed runs already, so it takes its slot along.
+// Handle passes on a generation while it holds a slot. A resumed generation runs already, so it is never refused.
 func (l *Limit) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
 	switch c.Request.(type) {
 	case chain.Resume:
@@ -36,7 +36,9 @@
 	case chain.Generate:
 		release, err := l.ceilings.Acquire(ctx, c.Organisation)
 		if err != nil {
-			return chain.Refuse(deny.New(deny.KindLimit, "%v: %d generations at once", err, c.Limit.Ceiling).WithRetryAfter(retryAfter))
+			return chain.Refuse(
+				deny.New(deny.KindLimit, "%v: %d generations at once", err, c.Limit.Ceiling).WithRetryAfter(retryAfter),
+			)
 		}
 		defer release()
 		return next(ctx, c)
--- a/entry/filter/locate.go
+++ b/entry/filter/locate.go
@@ -10,47 +10,49 @@
 	"bramleywharf.example/entry/chain"
 )
 
-// startRetry is when callers should come back to an instance that has no configuration yet.
-const startRetry = 300 * time.Millisecond
+// startRetryAfter is the time after which callers should try again at an instance without a configuration.
+const startRetryAfter = 300 * time.Millisecond
 
-// Sites gives the configuration of routed requests.
+// Sites provides the configuration of forwarded requests.
 type Sites interface {
-	// Config returns the configuration in force, or nil before the first is known.
+	// Config returns the current configuration, or nil before the first one is received.
 	Config() *site.Config
 }
 
-// Locate finds the route of a forwarded call and the organisation that makes it.
+// Locate finds the route of a forwarded call and authenticates the organisation that makes it.
 type Locate struct {
 	sites Sites
 }
 
 var _ chain.Filter = (*Locate)(nil)
 
-// NewLocate returns a filter that knows the routes of a source.
+// NewLocate returns a filter that uses the routes and keys of the current configuration.
 func NewLocate(sites Sites) *Locate {
 	return &Locate{sites: sites}
 }
 
-// Handle passes calls on that the configuration in force allows.
+// Handle passes on calls that match a route and carry the key of an organisation, unless no key is needed.
 func (l *Locate) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
-	f, ok := c.Request.(chain.Forward)
+	forward, ok := c.Request.(chain.Forward)
 	if !ok {
 		return chain.Refuse(deny.New(deny.KindMalformed, "request of another kind"))
 	}
-	s := l.sites.Config()
-	if s == nil {
-		return chain.Refuse(deny.New(deny.KindUnavailable, "the configuration is not known yet").WithRetryAfter(startRetry))
+	config := l.sites.Config()
+	if config == nil {
+		return chain.Refuse(
+			deny.New(deny.KindUnavailable, "the configuration is not known yet").WithRetryAfter(startRetryAfter),
+		)
 	}
-	path, _, _ := strings.Cut(f.Path, "?")
-	route, ok := s.Match(f.Host, path)
+	path, _, _ := strings.Cut(forward.Path, "?")
+	route, ok := config.Match(forward.Host, path)
 	if !ok {
-		return chain.Refuse(deny.New(deny.KindUnknown, "no route matches at version %s", s.Version))
+		return chain.Refuse(deny.New(deny.KindUnknown, "no route matches at version %s", config.Version))
 	}
-	c = c.WithRoute(s, route).WithUrgency(route.Priority)
-	if !s.Keyed() {
+	c = c.WithRoute(config, route).WithUrgency(route.Priority)
+	if !config.Keyed() {
 		return next(ctx, c)
 	}
-	caller, ok := s.Caller(c.Credential)
+	caller, ok := config.Caller(c.Credential)
 	if ok && caller.Ranked {
 		c = c.WithUrgency(caller.Priority)
 	}
@@ -60,5 +62,5 @@
 	if route.Public {
 		return next(ctx, c)
 	}
-	return chain.Refuse(deny.New(deny.KindUnauthorised, "the key is missing or unknown at version %s", s.Version))
+	return chain.Refuse(deny.New(deny.KindUnauthorised, "the key is missing or unknown at version %s", config.Version))
 }
--- a/entry/filter/record.go
+++ b/entry/filter/record.go
@@ -13,55 +13,57 @@
 	"github.com/apex/log"
 )
 
-// Record counts calls and answers, and turns a panic into a refusal.
+// Record counts calls by request and answer, and turns a panic into a refusal.
 type Record struct {
-	set    *metrics.Set
-	log    log.Interface
-	totals sync.Map // totals holds a *total by request and answer, as their names joined.
+	set       *metrics.Set
+	log       log.Interface
+	byOutcome sync.Map // byOutcome maps "request/answer" to *outcomeMetrics.
 }
 
-// total holds the metrics of one kind of request that ended with one kind of answer.
-type total struct {
-	calls *metrics.Counter
-	times *metrics.Histogram
+// outcomeMetrics holds the metrics of calls with one kind of request and one kind of answer.
+type outcomeMetrics struct {
+	calls     *metrics.Counter
+	durations *metrics.Histogram
 }
 
 var _ chain.Filter = (*Record)(nil)
 
-// NewRecord returns a filter that counts into a set.
+// NewRecord returns a filter that registers its metrics in a set.
 func NewRecord(set *metrics.Set, logger log.Interface) *Record {
 	return &Record{set: set, log: logger}
 }
 
-// Handle counts the call and its answer.
+// Handle passes on the call, then records its answer and duration.
 func (r *Record) Handle(ctx context.Context, c chain.Call, next chain.Handler) (answer chain.Answer) {
-	began := time.Now()
+	start := time.Now()
 	defer func() {
-		if fault := recover(); fault != nil {
-			r.log.WithField("request", c.ID).Errorf("panic: %v\n%s", fault, debug.Stack())
+		if recovered := recover(); recovered != nil {
+			r.log.WithField("request", c.ID).Errorf("panic: %v\n%s", recovered, debug.Stack())
 			answer = chain.Refuse(deny.New(deny.KindInternal, "the system failed").WithExecuted(deny.ExecutedUnknown))
 		}
-		r.count(c, answer, time.Since(began))
+		r.observe(c, answer, time.Since(start))
 	}()
 	return next(ctx, c)
 }
 
-// count adds one answered call to the metrics.
-func (r *Record) count(c chain.Call, answer chain.Answer, took time.Duration) {
-	request, answered := requestName(c.Request), answerName(answer)
-	key := request + "/" + answered
-	found, ok := r.totals.Load(key)
+// observe adds one call to the metrics.
+func (r *Record) observe(c chain.Call, answer chain.Answer, duration time.Duration) {
+	requestLabel, answerLabel := requestName(c.Request), answerName(answer)
+	key := requestLabel + "/" + answerLabel
+	found, ok := r.byOutcome.Load(key)
 	if !ok {
-		found, _ = r.totals.LoadOrStore(key, &total{
-			calls: r.set.GetOrCreateCounter(fmt.Sprintf(`bramleywharf_calls_total{request=%q,answer=%q}`, request, answered)),
-			times: r.set.GetOrCreateHistogram(fmt.Sprintf(`bramleywharf_call_seconds{request=%q}`, request)),
+		found, _ = r.byOutcome.LoadOrStore(key, &outcomeMetrics{
+			calls: r.set.GetOrCreateCounter(
+				fmt.Sprintf(`bramleywharf_calls_total{request=%q,answer=%q}`, requestLabel, answerLabel),
+			),
+			durations: r.set.GetOrCreateHistogram(fmt.Sprintf(`bramleywharf_call_seconds{request=%q}`, requestLabel)),
 		})
 	}
-	found.(*total).calls.Inc()
-	found.(*total).times.Update(took.Seconds())
+	found.(*outcomeMetrics).calls.Inc()
+	found.(*outcomeMetrics).durations.Update(duration.Seconds())
 }
 
-// answerName names an answer in metrics.
+// answerName returns the value of the metric label "answer".
 func answerName(a chain.Answer) string {
 	switch a := a.(type) {
 	case chain.Streamed:
@@ -85,7 +87,7 @@
 	}
 }
 
-// requestName names a request in metrics.
+// requestName returns the value of the metric label "request".
 func requestName(r chain.Request) string {
 	switch r.(type) {
 	case chain.Generate:
--- a/entry/filter/share.go
+++ b/entry/filter/share.go
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// Capacity lets generations through to the engines by the voted shares.
+// Capacity admits generations to the engines according to the organisations' shares.
 type Capacity interface {
-	// Enter waits until an engine has room; entered is called when the generation holds it.
+	// Enter waits until an engine has a free slot. The caller calls entered once the generation occupies the slot.
 	Enter(ctx context.Context, organisation, model string, share float64) (entered func(), err error)
 }
 
-// Share holds new generations back while no engine has room; calls of plain services and resumed generations pass at once.
+// Share queues new generations while no engine has a free slot; other calls pass at once.
 type Share struct {
 	capacity Capacity
 }
 
 var _ chain.Filter = (*Share)(nil)
 
-// NewShare returns a filter before a capacity.
+// NewShare returns a filter that waits for a capacity.
 func NewShare(capacity Capacity) *Share {
 	return &Share{capacity: capacity}
 }
 
-// Handle passes generations on for which an engine has room.
+// Handle passes on a generation once an engine has a free slot, and refuses it when the queue is full or too slow.
 func (s *Share) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
 	r, ok := c.Request.(chain.Generate)
 	if !ok {
@@ -35,7 +35,7 @@
 	}
 	entered, err := s.capacity.Enter(ctx, c.Organisation, r.Model, c.Limit.Share)
 	if errors.Is(err, fair.ErrFull) || errors.Is(err, fair.ErrLate) {
-		return chain.Refuse(deny.New(deny.KindUnavailable, "%v", err).WithRetryAfter(queueRetry))
+		return chain.Refuse(deny.New(deny.KindUnavailable, "%v", err).WithRetryAfter(queueRetryAfter))
 	}
 	if err != nil {
 		return chain.Left{}
--- a/entry/filter/trace.go
+++ b/entry/filter/trace.go
@@ -12,66 +12,75 @@
 	"github.com/apex/log"
 )
 
-// ordinaryLines bounds the lines a second for calls that went as they should; the others always have theirs.
-const ordinaryLines = 5
+// ordinaryLinesPerSecond bounds the log lines for ordinary calls, which the first target answered in time without
+// failing. All other calls are logged.
+const ordinaryLinesPerSecond = 5
 
-// Trace logs one line for each call, of those that went as they should only a few.
+// Trace logs one line for each call, except that it samples ordinary calls.
 type Trace struct {
-	log     log.Interface
-	began   time.Time
-	second  atomic.Int64
-	lines   atomic.Int64
-	skipped *metrics.Counter
+	log           log.Interface
+	start         time.Time
+	second        atomic.Int64 // second is the current second since start.
+	ordinaryLines atomic.Int64 // ordinaryLines counts the ordinary calls in this second.
+	skipped       *metrics.Counter
 }
 
 var _ chain.Filter = (*Trace)(nil)
 
-// NewTrace returns a filter that logs calls and counts those it leaves out.
+// NewTrace returns a filter that logs calls and counts the ordinary ones that it skips.
 func NewTrace(logger log.Interface, set *metrics.Set) *Trace {
-	return &Trace{log: logger, began: time.Now(), skipped: set.GetOrCreateCounter("bramleywharf_log_ordinary_skipped_total")}
+	return &Trace{
+		log:     logger,
+		start:   time.Now(),
+		skipped: set.GetOrCreateCounter("bramleywharf_log_ordinary_skipped_total"),
+	}
 }
 
-// Handle logs the call once it is answered.
+// Handle passes on the call and logs it with its answer.
 func (t *Trace) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
-	began := time.Now()
-	var located chain.Call
-	answer := next(context.WithValue(ctx, locatedKey{}, &located), c)
-	t.note(c, located, answer, time.Since(began))
+	start := time.Now()
+	var routed chain.Call
+	answer := next(context.WithValue(ctx, routedCallKey{}, &routed), c)
+	t.logCall(c, routed, answer, time.Since(start))
 	return answer
 }
 
-// Noted fills in what the trace of a call says of its route.
+// Noted passes the routed call back to the Trace filter, which sees a call only before it is routed.
 type Noted struct{}
 
 var _ chain.Filter = Noted{}
 
-// locatedKey finds the call to fill in.
-type locatedKey struct{}
+// routedCallKey is the context key of the *chain.Call that Noted fills in.
+type routedCallKey struct{}
 
-// Handle hands the located call to the trace around it.
+// Handle stores the call for the Trace filter and passes it on.
 func (Noted) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
-	if located, ok := ctx.Value(locatedKey{}).(*chain.Call); ok {
-		*located = c
+	if routed, ok := ctx.Value(routedCallKey{}).(*chain.Call); ok {
+		*routed = c
 	}
 	return next(ctx, c)
 }
 
-// note logs one call.
-func (t *Trace) note(c, located chain.Call, answer chain.Answer, took time.Duration) {
-	message, special := t.judge(located, answer, took)
-	if !special && !t.room() {
+// logCall logs one call, unless it is ordinary and enough lines were written in this second.
+func (t *Trace) logCall(c, routed chain.Call, answer chain.Answer, duration time.Duration) {
+	message, always := t.classify(routed, answer, duration)
+	if !always && !t.allowsOrdinary() {
 		t.skipped.Inc()
 		return
 	}
-	fields := log.Fields{"request": c.ID, "took-ms": took.Milliseconds(), "route": located.Route.Name}
-	if located.Site != nil {
-		fields["config-version"] = located.Site.Version
-		fields["organisation"] = located.Organisation
+	fields := log.Fields{"request": c.ID, "took-ms": duration.Milliseconds(), "route": routed.Route.Name}
+	if routed.Site != nil {
+		fields["config-version"] = routed.Site.Version
+		fields["organisation"] = routed.Organisation
 	}
 	line := t.log.WithFields(fields)
 	switch a := answer.(type) {
 	case chain.Passed:
-		line.WithFields(log.Fields{"status": a.Head.Status, "sends": a.Sends, "aim-ms": located.Route.Aim.Milliseconds()}).Info(message)
+		line.WithFields(log.Fields{
+			"status": a.Head.Status,
+			"sends":  a.Sends,
+			"aim-ms": routed.Route.Aim.Milliseconds(),
+		}).Info(message)
 	case chain.Finished:
 		line.WithFields(log.Fields{
 			"events":   a.Events,
@@ -82,23 +91,23 @@
 	case chain.Severed:
 		line.WithField("cause", a.Reason).Warn(message)
 	case chain.Refused:
-		refused(line, a.Refusal).Info(message)
+		withRefusal(line, a.Refusal).Info(message)
 	default:
 		line.Info(message)
 	}
 }
 
-// judge returns the message for an answer, and whether it always has its line: only calls that went as they should may be left out.
-func (t *Trace) judge(c chain.Call, answer chain.Answer, took time.Duration) (message string, special bool) {
+// classify returns the log message for an answer, and whether it is always logged because the call is not ordinary.
+func (t *Trace) classify(c chain.Call, answer chain.Answer, duration time.Duration) (message string, always bool) {
 	aim := c.Route.Aim
 	switch a := answer.(type) {
 	case chain.Passed:
 		switch {
 		case a.Failed():
-			return "target's failure passed on", true
+			return "passed on the target's failure", true
 		case a.Sends > 1:
-			return "answered after a repeat", true
-		case aim > 0 && took > aim && !streamed(c):
+			return "answered after a retry", true
+		case aim > 0 && duration > aim && !isStream(c):
 			return "answered late", true
 		}
 		return "answered", false
@@ -108,35 +117,35 @@
 		case aim > 0 && a.First > aim || stream.Pause > 0 && a.Pause > stream.Pause:
 			return "stream finished late", true
 		case a.Resumed > 0:
-			return "stream finished after it was resumed", true
+			return "stream finished after being resumed", true
 		}
 		return "stream finished", false
 	case chain.Severed:
 		return "stream severed", true
 	case chain.Refused:
-		return "refused", true
+		return "request refused", true
 	default:
-		return "caller left", true
+		return "caller disconnected", true
 	}
 }
 
-// room tells whether one more ordinary line may be written in this second.
-func (t *Trace) room() bool {
-	second := int64(time.Since(t.began) / time.Second)
+// allowsOrdinary counts an ordinary call and reports whether it may be logged in this second.
+func (t *Trace) allowsOrdinary() bool {
+	second := int64(time.Since(t.start) / time.Second)
 	if t.second.Swap(second) != second {
-		t.lines.Store(0)
+		t.ordinaryLines.Store(0)
 	}
-	return t.lines.Add(1) <= ordinaryLines
+	return t.ordinaryLines.Add(1) <= ordinaryLinesPerSecond
 }
 
-// streamed tells whether a call's route is answered by events.
-func streamed(c chain.Call) bool {
+// isStream reports whether a call's route is answered by a stream of events.
+func isStream(c chain.Call) bool {
 	_, ok := c.Route.Repeat.(site.Stream)
 	return ok
 }
 
-// refused adds what a refusal says to a line.
-func refused(line *log.Entry, r deny.Refusal) *log.Entry {
+// withRefusal adds the fields of a refusal to a log line.
+func withRefusal(line *log.Entry, r deny.Refusal) *log.Entry {
 	return line.WithFields(log.Fields{
 		"refusal":  string(r.Kind),
 		"executed": string(r.Executed),
--- a/entry/filter/trace_test.go
+++ b/entry/filter/trace_test.go
@@ -22,21 +22,40 @@
 	cases := map[string]struct {
 		route  site.Route
 		answer chain.Answer
-		took   time.Duration
-		lines  int // lines counts those of 40 calls in one second.
+		delay  time.Duration
+		lines  int // lines is the number of lines for 40 calls in one second.
 	}{
-		"ordinary-answers-are-sampled":  {route: plain, answer: chain.Passed{Head: chain.Head{Status: 200}, Sends: 1}, lines: ordinaryLines},
-		"ordinary-streams-are-sampled":  {route: stream, answer: chain.Finished{Events: 3}, lines: ordinaryLines},
-		"caller's-fault-is-sampled":     {route: plain, answer: chain.Passed{Head: chain.Head{Status: 404}, Sends: 1}, lines: ordinaryLines},
-		"target's-failure-has-its-line": {route: plain, answer: chain.Passed{Head: chain.Head{Status: 500}, Sends: 1}, lines: calls},
-		"repeated-answer-has-its-line":  {route: plain, answer: chain.Passed{Head: chain.Head{Status: 200}, Sends: 2}, lines: calls},
-		"late-answer-has-its-line":      {route: plain, answer: chain.Passed{Head: chain.Head{Status: 200}, Sends: 1}, took: 101 * time.Millisecond, lines: calls},
-		"resumed-stream-has-its-line":   {route: stream, answer: chain.Finished{Resumed: 1}, lines: calls},
-		"late-stream-has-its-line":      {route: stream, answer: chain.Finished{First: 1100 * time.Millisecond}, lines: calls},
-		"paused-stream-has-its-line":    {route: stream, answer: chain.Finished{Pause: 800 * time.Millisecond}, lines: calls},
-		"severed-stream-has-its-line":   {route: stream, answer: chain.Severed{Reason: "cut"}, lines: calls},
-		"refusal-has-its-line":          {route: plain, answer: chain.Refuse(deny.New(deny.KindUnavailable, "full")), lines: calls},
-		"caller-who-left-has-its-line":  {route: plain, answer: chain.Left{}, lines: calls},
+		"ordinary-answers-are-sampled": {
+			route: plain, answer: chain.Passed{Head: chain.Head{Status: 200}, Sends: 1}, lines: ordinaryLinesPerSecond,
+		},
+		"ordinary-streams-are-sampled": {
+			route: stream, answer: chain.Finished{Events: 3}, lines: ordinaryLinesPerSecond,
+		},
+		"client-errors-are-sampled": {
+			route: plain, answer: chain.Passed{Head: chain.Head{Status: 404}, Sends: 1}, lines: ordinaryLinesPerSecond,
+		},
+		"target-failures-are-logged": {
+			route: plain, answer: chain.Passed{Head: chain.Head{Status: 500}, Sends: 1}, lines: calls,
+		},
+		"retried-answers-are-logged": {
+			route: plain, answer: chain.Passed{Head: chain.Head{Status: 200}, Sends: 2}, lines: calls,
+		},
+		"late-answers-are-logged": {
+			route:  plain,
+			answer: chain.Passed{Head: chain.Head{Status: 200}, Sends: 1},
+			delay:  101 * time.Millisecond,
+			lines:  calls,
+		},
+		"resumed-streams-are-logged": {route: stream, answer: chain.Finished{Resumed: 1}, lines: calls},
+		"late-streams-are-logged": {
+			route: stream, answer: chain.Finished{First: 1100 * time.Millisecond}, lines: calls,
+		},
+		"paused-streams-are-logged":  {route: stream, answer: chain.Finished{Pause: 800 * time.Millisecond}, lines: calls},
+		"severed-streams-are-logged": {route: stream, answer: chain.Severed{Reason: "cut"}, lines: calls},
+		"refusals-are-logged": {
+			route: plain, answer: chain.Refuse(deny.New(deny.KindUnavailable, "full")), lines: calls,
+		},
+		"disconnects-are-logged": {route: plain, answer: chain.Left{}, lines: calls},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -46,11 +65,11 @@
 				set := metrics.NewSet()
 				trace := NewTrace(&log.Logger{Handler: handler, Level: log.InfoLevel}, set)
 				forward := chain.Build(func(context.Context, chain.Call) chain.Answer {
-					time.Sleep(test.took)
+					time.Sleep(test.delay)
 					return test.answer
-				}, trace, located(test.route), Noted{})
+				}, trace, fixedRoute(test.route), Noted{})
 				for range calls {
-					if test.took == 0 {
+					if test.delay == 0 {
 						time.Sleep(10 * time.Millisecond)
 					}
 					c.Assert(forward(t.Context(), chain.Call{ID: "id"}), quicktest.DeepEquals, test.answer)
@@ -67,10 +86,10 @@
 	}
 }
 
-// located is a filter that puts calls on a route.
-type located site.Route
+// fixedRoute is a filter that routes all calls to one route.
+type fixedRoute site.Route
 
-// Handle puts the call on the route.
-func (l located) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
-	return next(ctx, c.WithRoute(nil, site.Route(l)))
+// Handle passes on the call with the route.
+func (r fixedRoute) Handle(ctx context.Context, c chain.Call, next chain.Handler) chain.Answer {
+	return next(ctx, c.WithRoute(nil, site.Route(r)))
 }
