--- a/entry/board/board.go
+++ b/entry/board/board.go
@@ -11,13 +11,13 @@
 	"github.com/apex/log"
 )
 
-// DecodeConfig returns the configuration that a view holds, or nil while there is none.
+// DecodeConfig decodes the configuration from the stored objects; it returns nil while they hold none.
 type DecodeConfig func(mirror.View) (*site.Config, error)
 
-// DecodeTarget returns the target that an entry declares.
+// DecodeTarget decodes a target from its stored object.
 type DecodeTarget func(mirror.Object) (site.Target, error)
 
-// Board keeps the decoded configuration in force.
+// Board keeps the current configuration in its decoded form.
 type Board struct {
 	*wait.Loop
 	decode DecodeConfig
@@ -26,7 +26,7 @@
 	config *cell.Cell[*site.Config]
 }
 
-// New returns a controller that decodes what its feed brings.
+// New returns a controller that decodes the configuration after each update of its feed.
 func New(f *feed.Feed, decode DecodeConfig, logger log.Interface) *Board {
 	b := &Board{decode: decode, feed: f, log: logger, config: cell.New[*site.Config](nil)}
 	b.Loop = wait.Start(func(ctx context.Context) {
@@ -43,23 +43,23 @@
 	return b
 }
 
-// Changed returns a channel that closes at the next configuration.
+// Changed returns a channel that is closed when the next configuration is applied.
 func (b *Board) Changed() <-chan struct{} {
 	return b.config.Changed()
 }
 
-// Config returns the configuration in force, or nil before the first is known.
+// Config returns the current configuration, or nil before the first one is received.
 func (b *Board) Config() *site.Config {
 	return b.config.Load()
 }
 
-// reconcile brings the newest configuration into force; one that cannot be read changes nothing.
+// reconcile applies the newest configuration; one that cannot be decoded changes nothing.
 func (b *Board) reconcile() {
 	view := b.feed.View()
 	old := b.config.Load()
 	next, err := b.decode(view)
 	if err != nil {
-		b.log.WithError(err).Error("configuration cannot be read; the one before stays in force")
+		b.log.WithError(err).Error("configuration cannot be decoded; keeping the previous one")
 		return
 	}
 	if next == nil || old != nil && next.Revision <= old.Revision {
@@ -70,5 +70,5 @@
 	if old != nil {
 		fields["old-version"] = old.Version
 	}
-	b.log.WithFields(fields).Info("configuration in force")
+	b.log.WithFields(fields).Info("configuration applied")
 }
--- a/entry/board/doc.go
+++ b/entry/board/doc.go
@@ -1,3 +1,3 @@
-// Package board keeps what feeds bring in its decoded form: the configuration
-// in force and the declared targets.
+// Package board decodes the objects that feeds receive: the configuration of
+// forwarded requests and the declared targets.
 package board
--- a/entry/board/targets.go
+++ b/entry/board/targets.go
@@ -8,22 +8,22 @@
 	"github.com/apex/log"
 )
 
-// Targets keeps the decoded entries of targets.
+// Targets decodes the stored objects of targets.
 type Targets struct {
 	*feed.Feed
 	decode DecodeTarget
 	log    log.Interface
 
-	mu    sync.Mutex
-	known map[string]site.Target // known holds decoded entries by name; one without an address names no target.
+	mu      sync.Mutex
+	decoded map[string]site.Target // decoded holds targets by name; an invalid one has no address.
 }
 
-// NewTargets returns the targets of a feed.
+// NewTargets returns the targets that a feed follows.
 func NewTargets(f *feed.Feed, decode DecodeTarget, logger log.Interface) *Targets {
-	return &Targets{Feed: f, decode: decode, log: logger, known: make(map[string]site.Target)}
+	return &Targets{Feed: f, decode: decode, log: logger, decoded: make(map[string]site.Target)}
 }
 
-// Targets returns all declared targets that can be read; entries that did not change are not decoded again.
+// Targets returns all valid targets; objects that did not change are not decoded again.
 func (t *Targets) Targets() []site.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,12 +31,13 @@
 	next := make(map[string]site.Target, len(live))
 	list := make([]site.Target, 0, len(live))
 	for _, o := range live {
-		target, ok := t.known[o.Name]
+		target, ok := t.decoded[o.Name]
 		if !ok || target.Revision != o.Revision {
 			var err error
 			target, err = t.decode(o)
 			if err != nil {
-				t.log.WithError(err).WithFields(log.Fields{"entry": o.Name, "revision": o.Revision}).Warn("entry is not used")
+				t.log.WithError(err).WithFields(log.Fields{"entry": o.Name, "revision": o.Revision}).
+					Warn("target entry is invalid; ignoring it")
 				target = site.Target{Name: o.Name, Revision: o.Revision}
 			}
 		}
@@ -45,6 +46,6 @@
 			list = append(list, target)
 		}
 	}
-	t.known = next
+	t.decoded = next
 	return list
 }
