--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -206,8 +206,8 @@
 	s.log.WithField("peer", address).Info("pulls from peers succeed again")
 }
 
-// pickPeer returns the address of a member to pull from. The members form a tree: each pulls from those that rank
-// above it for the kind, and the watchers of the store rank first.
+// pickPeer returns the address of a member to pull from. The members form a tree for each kind, below the watchers,
+// which rank first: a member pulls from a random one of the first rank/fanOut members, or of the watchers.
 func (s *Swap) pickPeer(members Members) (string, bool) {
 	self := members.Self()
 	var alive []string
--- a/entry/filter/trace.go
+++ b/entry/filter/trace.go
@@ -123,7 +123,7 @@
 	case chain.Severed:
 		return "stream severed", true
 	case chain.Refused:
-		return "request refused", true
+		return "refused", true
 	default:
 		return "caller disconnected", true
 	}
