--- a/entry/flight/attempt.go
+++ b/entry/flight/attempt.go
@@ -16,219 +16,236 @@
 )
 
 const (
-	firstPatience = 2 * time.Second         // firstPatience is the wait for the first event of an empty prompt.
-	tokenPatience = time.Millisecond        // tokenPatience is added for each token of the prompt; an engine reads 8 in that time when nothing runs beside it.
-	copyPatience  = 1500 * time.Millisecond // copyPatience is the wait for the first event of a stream that goes on from a copy; to read the prompt again takes a second and more.
-	silenceShared = 120 * time.Millisecond  // silenceShared is that silence when another target of the failure domain was lost since.
-	firstProbe    = 1200 * time.Millisecond // firstProbe is the time between two probes before the first event; most prompts are read by then.
-	nearProbe     = 300 * time.Millisecond  // nearProbe is that time when another target of the failure domain was lost since.
-	askAfter      = 2200 * time.Millisecond // askAfter is the wait for the first event after which the target is asked how far it has come; most prompts are read by then.
-	askTimeout    = 400 * time.Millisecond  // askTimeout bounds that question.
-	reportLag     = 700 * time.Millisecond  // reportLag is the age of a request from which a report must tell of it; reports are some hundred milliseconds old.
-	lookPeriod    = 40 * time.Millisecond   // lookPeriod is the time between two looks at a stream's silence.
+	// firstEventTimeout is the time allowed for the first event of a stream with an empty prompt.
+	firstEventTimeout = 2 * time.Second
+	// timeoutPerPromptToken is added to firstEventTimeout for each token of the prompt; an engine that runs nothing
+	// else reads 8 tokens in that time.
+	timeoutPerPromptToken = time.Millisecond
+	// replicaEventTimeout is the time allowed for the first event of an attempt that starts from a replica; reading
+	// the prompt again elsewhere takes a second or more.
+	replicaEventTimeout = 1500 * time.Millisecond
+	// domainLossProbeDelay is the shortest silence after which a target is probed when its failure domain has just
+	// lost a target.
+	domainLossProbeDelay = 120 * time.Millisecond
+	// probeInterval is the least time between two probes, and the silence before the first one while the target reads
+	// the prompt; most prompts are read by then.
+	probeInterval = 1200 * time.Millisecond
+	// domainLossProbeInterval replaces probeInterval when the failure domain has just lost a target.
+	domainLossProbeInterval = 300 * time.Millisecond
+	// progressCheckDelay is the wait for the first event after which the target's report is read instead of a probe;
+	// most prompts are read by then.
+	progressCheckDelay   = 2200 * time.Millisecond
+	progressCheckTimeout = 400 * time.Millisecond // progressCheckTimeout bounds the request for that report.
+	// reportLag is the age from which a request must be in its target's report; reports are some hundred
+	// milliseconds old.
+	reportLag     = 700 * time.Millisecond
+	checkInterval = 40 * time.Millisecond // checkInterval is how often a monitor checks its attempt.
 )
 
-// ending is the sealed set of what came of one attempt: complete, refusedBy, unrun, broken and unwanted.
-type ending interface {
-	isEnding()
+// outcome is the sealed set of ways in which an attempt ends: completed, wholeResponse, notRun, interrupted and
+// callerGone.
+type outcome interface {
+	isOutcome()
 }
 
-// complete says that the caller has all events.
-type complete struct{}
+// completed means that all events were delivered to the caller.
+type completed struct{}
 
-// refusedBy is a target's own whole response that is no stream.
-type refusedBy struct {
-	passed chain.Passed
+// wholeResponse means that the target itself answered with a status other than 200 instead of a stream.
+type wholeResponse struct {
+	response chain.Passed
 }
 
-// unrun says that the target has not run the request.
-type unrun struct {
-	sent  bool // sent tells that the target had it and refused.
-	moved bool // moved tells that another target refused it, since the one it was meant for has ended.
-	lost  bool // lost tells that the target could not be reached.
-	cause string
+// notRun means that no target has run the request.
+type notRun struct {
+	received    bool // a target received the request and refused it
+	misdirected bool // another target has the address and refused; the intended one has ended
+	unreachable bool // the target could not be reached
+	cause       string
 }
 
-// broken says that the stream ended before its last event.
-type broken struct {
+// interrupted means that the response ended, or was given up, before the last event.
+type interrupted struct {
 	cause string
 }
 
-// unwanted says that the caller is gone.
-type unwanted struct{}
-
-func (complete) isEnding()  {}
-func (refusedBy) isEnding() {}
-func (unrun) isEnding()     {}
-func (broken) isEnding()    {}
-func (unwanted) isEnding()  {}
-
-// run is one attempt on its way.
-type run struct {
-	flight *flight
-	pick   *picker.Pick
-	guard  *guard
-	reply  *link.Reply
-	source send.Source
-	backup site.Target // backup is the target that keeps a copy of the run, or the zero value.
+// callerGone means that the caller no longer takes events.
+type callerGone struct{}
+
+func (completed) isOutcome()     {}
+func (wholeResponse) isOutcome() {}
+func (notRun) isOutcome()        {}
+func (interrupted) isOutcome()   {}
+func (callerGone) isOutcome()    {}
+
+// attempt runs a stream at one target.
+type attempt struct {
+	stream  *stream
+	pick    *picker.Pick
+	monitor *monitor
+	reply   *link.Reply
+	source  send.Source
+	holder  site.Target // target that keeps a replica of this attempt, or the zero value
 }
 
-// attempt runs the stream at one target, from a copy if its address is given.
-func (g *flight) attempt(ctx context.Context, pick *picker.Pick, source send.Source) ending {
-	g.steady = false
+// tryTarget runs the stream at one target, from a replica unless source is the zero value.
+func (s *stream) tryTarget(ctx context.Context, pick *picker.Pick, source send.Source) outcome {
+	s.attemptDelivered = false
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := newGuard(ctx, g, pick, source != send.Source{}, cancel)
-	defer guard.stop()
-	s := send.Send{Call: g.call, Target: pick.Target, Left: time.Until(g.request.Deadline), After: g.last, Source: source}
-	var backup site.Target
-	if g.copies {
-		backup, _ = g.backupFor(pick.Target, "")
-		s.Backup = backup.Address
+	monitor := startMonitor(ctx, s, pick, source != send.Source{}, cancel)
+	defer monitor.stop()
+	outgoing := send.Send{Call: s.call, Target: pick.Target, Left: time.Until(s.request.Deadline), After: s.lastEventID, Source: source}
+	var holder site.Target
+	if s.canReplicate {
+		holder, _ = s.chooseHolder(pick.Target, "")
+		outgoing.Backup = holder.Address
 	}
-	g.sender.Counts.Sends.Inc()
-	reply, err := g.sender.Link.Send(ctx, g.sender.Outgoing(s, g.request, false))
-	var unsent *link.NotSentError
-	if errors.As(err, &unsent) {
-		g.sender.Counts.Unsent.Inc()
-		return unrun{lost: true, cause: err.Error()}
+	s.sender.Counts.Sends.Inc()
+	reply, err := s.sender.Link.Send(ctx, s.sender.Outgoing(outgoing, s.request, false))
+	var notSentErr *link.NotSentError
+	if errors.As(err, &notSentErr) {
+		s.sender.Counts.Unsent.Inc()
+		return notRun{unreachable: true, cause: err.Error()}
 	}
-	g.sends++
+	s.sendCount++
 	if err != nil {
-		return broken{cause: g.cause(ctx, err)}
+		return interrupted{cause: s.cause(ctx, err)}
 	}
 	defer reply.Close()
-	r := &run{flight: g, pick: pick, guard: guard, reply: reply, source: source, backup: backup}
-	return r.read(ctx)
+	a := &attempt{stream: s, pick: pick, monitor: monitor, reply: reply, source: source, holder: holder}
+	return a.handleResponse(ctx)
 }
 
-// backupFor returns the target that keeps a copy of the stream while another runs it, other than one that has just refused.
-func (g *flight) backupFor(runner site.Target, refused string) (site.Target, bool) {
-	want := g.want()
+// chooseHolder chooses the target that keeps a replica of the stream while runner runs it, but not the one that
+// refused names.
+func (s *stream) chooseHolder(runner site.Target, refused string) (site.Target, bool) {
+	want := s.want()
 	want.Avoid = map[string]bool{runner.Name: true, refused: true}
-	for name := range g.avoid {
+	for name := range s.avoidedTargets {
 		want.Avoid[name] = true
 	}
-	return g.sender.Picker.Backup(want, runner.Domain)
+	return s.sender.Picker.Backup(want, runner.Domain)
 }
 
-// cause names what ended a connection.
-func (g *flight) cause(ctx context.Context, err error) string {
+// cause describes what ended a connection: the cause of the context if it has ended, otherwise the error.
+func (s *stream) cause(ctx context.Context, err error) string {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause.Error()
 	}
 	return err.Error()
 }
 
-// read takes the response of a target.
-func (r *run) read(ctx context.Context) ending {
-	g, reply := r.flight, r.reply
-	switch v := g.sender.Dialect.Judge(reply.Status(), reply.Header()).(type) {
+// handleResponse reads the response of the target and relays its events.
+func (a *attempt) handleResponse(ctx context.Context) outcome {
+	s, reply := a.stream, a.reply
+	switch v := s.sender.Dialect.Judge(reply.Status(), reply.Header()).(type) {
 	case send.NotRun:
-		_, _ = reply.Whole() // The body says nothing; it is read so that the connection can be kept.
-		g.swapCopy(nil)
+		_, _ = reply.Whole() // The body is not needed; reading it lets the connection be reused.
+		s.swapReplica(nil)
 		if v.Misdirected {
-			// The target that it was sent to is not there, so this one does not count among those that had the request.
-			g.sends--
-			g.sender.Misdirected(ctx, g.call, r.pick, v.Holder)
+			// The intended target has ended, so it does not count as one that may have received the request.
+			s.sendCount--
+			s.sender.Misdirected(ctx, s.call, a.pick, v.Holder)
 		}
-		return unrun{sent: true, moved: v.Misdirected, cause: fmt.Sprintf("status %d", reply.Status())}
+		return notRun{received: true, misdirected: v.Misdirected, cause: fmt.Sprintf("status %d", reply.Status())}
 	case send.Unsigned:
-		return broken{cause: fmt.Sprintf("response with status %d proves nothing", reply.Status())}
+		return interrupted{cause: fmt.Sprintf("response with status %d has no signature", reply.Status())}
 	}
-	head := chain.Head{Status: reply.Status(), Header: g.sender.Dialect.Response(reply.Header())}
+	head := chain.Head{Status: reply.Status(), Header: s.sender.Dialect.Response(reply.Header())}
 	if reply.Status() != 200 {
 		body, err := reply.Whole()
 		if err != nil {
-			return broken{cause: g.cause(ctx, err)}
+			return interrupted{cause: s.cause(ctx, err)}
 		}
-		return refusedBy{passed: chain.Passed{Head: head, Body: body, Sends: g.sends + g.unsent}}
+		return wholeResponse{response: chain.Passed{Head: head, Body: body, Sends: s.sendCount + s.unsentCount}}
 	}
-	return r.copyEvents(ctx, head)
+	return a.relayEvents(ctx, head)
 }
 
-// copyEvents passes whole events on until the stream ends.
-func (r *run) copyEvents(ctx context.Context, head chain.Head) ending {
-	g := r.flight
-	stream := newEvents(r.reply)
+// relayEvents delivers whole events to the caller until the response ends.
+func (a *attempt) relayEvents(ctx context.Context, head chain.Head) outcome {
+	s := a.stream
+	reader := newEventReader(a.reply)
 	first := true
 	for {
-		e, err := stream.next()
+		e, err := reader.next()
 		switch {
-		case err == io.EOF && g.begun.Load():
-			return complete{}
+		case err == io.EOF && s.headSent.Load():
+			return completed{}
 		case err != nil:
-			return broken{cause: g.cause(ctx, err)}
-		case !follows(g.last, e.id):
-			return broken{cause: fmt.Sprintf("event %s came after event %s", e.id, g.last)}
+			return interrupted{cause: s.cause(ctx, err)}
+		case !isNextEvent(s.lastEventID, e.id):
+			return interrupted{cause: fmt.Sprintf("event %s does not follow event %s", e.id, s.lastEventID)}
 		}
-		r.guard.hear()
+		a.monitor.recordEvent()
 		if first {
 			first = false
-			r.pick.Read()
-			r.pick.Heard()
-			g.noteResumed(r.source)
-			g.growCopy(r.backup)
+			a.pick.Read()
+			a.pick.Heard()
+			s.countResume(a.source)
+			s.trackReplica(a.holder)
 		}
-		if err := g.deliver(head, e); err != nil {
-			return unwanted{}
+		if err := s.deliver(head, e); err != nil {
+			return callerGone{}
 		}
 	}
 }
 
-// growCopy notes the copy that grows with the run; engines make it from the first event on.
-func (g *flight) growCopy(holder site.Target) {
+// trackReplica records the replica at the holder, which the running engine keeps up to date from its first event on.
+func (s *stream) trackReplica(holder site.Target) {
 	if holder.Name == "" {
 		return
 	}
-	g.swapCopy(&copied{
+	s.swapReplica(&replica{
 		holder:  holder,
-		source:  send.Source{Address: holder.Address, Handle: g.call.ID},
-		release: g.sender.Picker.Keep(holder),
+		source:  send.Source{Address: holder.Address, Handle: s.call.ID},
+		release: s.sender.Picker.Keep(holder),
 	})
 }
 
-// noteResumed counts a stream that went on at another target.
-func (g *flight) noteResumed(source send.Source) {
-	if !g.begun.Load() {
+// countResume counts a stream that went on at another target, by whether it did so from a replica.
+func (s *stream) countResume(source send.Source) {
+	if !s.headSent.Load() {
 		return
 	}
-	g.resumed++
-	g.sender.Counts.Resume.Update(time.Since(g.sent).Seconds())
+	s.resumeCount++
+	s.sender.Counts.Resume.Update(time.Since(s.lastEventAt).Seconds())
 	if source == (send.Source{}) {
-		g.sender.Counts.Rereads.Inc()
+		s.sender.Counts.Rereads.Inc()
 		return
 	}
-	g.sender.Counts.Copies.Inc()
+	s.sender.Counts.Copies.Inc()
 }
 
-// deliver sends one event to the caller.
-func (g *flight) deliver(head chain.Head, e event) error {
-	if !g.begun.Load() {
-		if err := g.request.Outlet.Begin(head); err != nil {
+// deliver sends one event to the caller, after the head of the response if that was not sent yet. The pause before
+// the first event of an attempt says nothing about the pace of the engine and does not change its estimate.
+func (s *stream) deliver(head chain.Head, e event) error {
+	if !s.headSent.Load() {
+		if err := s.request.Outlet.Begin(head); err != nil {
 			return err
 		}
-		g.begun.Store(true)
+		s.headSent.Store(true)
 	}
-	if err := g.request.Outlet.Event(e.raw); err != nil {
+	if err := s.request.Outlet.Event(e.raw); err != nil {
 		return err
 	}
 	now := time.Now()
-	if g.sent.IsZero() {
-		g.first = now.Sub(g.request.Received)
-		g.sender.Counts.First.Update(g.first.Seconds())
+	if s.lastEventAt.IsZero() {
+		s.firstEventDelay = now.Sub(s.request.Received)
+		s.sender.Counts.First.Update(s.firstEventDelay.Seconds())
 	} else {
-		pause := now.Sub(g.sent)
-		g.pause = max(g.pause, pause)
-		g.sender.Counts.Pause.Update(pause.Seconds())
-		if g.steady {
-			g.sender.Learn(g.service, func(p flow.Pace) flow.Pace { return p.WithPause(pause) })
+		gap := now.Sub(s.lastEventAt)
+		s.longestGap = max(s.longestGap, gap)
+		s.sender.Counts.Pause.Update(gap.Seconds())
+		if s.attemptDelivered {
+			s.sender.Learn(s.service, func(p flow.Pace) flow.Pace { return p.WithPause(gap) })
 		}
 	}
-	g.sent, g.steady = now, true
-	g.events++
+	s.lastEventAt, s.attemptDelivered = now, true
+	s.eventCount++
 	if e.id != "" {
-		g.last = e.id
+		s.lastEventID = e.id
 	}
 	return nil
 }
--- a/entry/flight/copy.go
+++ b/entry/flight/copy.go
@@ -10,96 +10,102 @@
 )
 
 const (
-	copyLife    = 0.9                    // copyLife is the part of the time that engines keep a copy after which it is ordered again.
-	copyTimeout = time.Second            // copyTimeout bounds the wait for a copy of some 150 MB on links of 370 Gbit/s, queued behind others.
-	copyAgain   = 300 * time.Millisecond // copyAgain is the least time between two orders.
+	// replicaRefreshRatio is the part of an engine's retention time after which a replica is ordered again.
+	replicaRefreshRatio = 0.9
+	// replicaCallTimeout bounds a call that orders or frees a replica of some 150 MB, which is sent over a link of
+	// 370 Gbit/s and queued behind others.
+	replicaCallTimeout = time.Second
+	minReplicaInterval = 300 * time.Millisecond // minReplicaInterval is the least time between two orders.
 )
 
-// keepCopy orders another copy of a stream under way when the one that there was is lost or grows old.
-func (d *guard) keepCopy(ctx context.Context) {
-	if !d.flight.copies || d.heard.Load() == 0 || time.Since(d.ordered) < copyAgain || d.copying.Load() {
+// maintainReplica orders a replica of a running stream when there is none at a healthy target, when it is in the same
+// failure domain as the running target, or when it is about to expire.
+func (m *monitor) maintainReplica(ctx context.Context) {
+	if !m.stream.canReplicate || m.lastEvent.Load() == 0 || time.Since(m.replicaOrderedAt) < minReplicaInterval || m.replicating.Load() {
 		return
 	}
-	runner := d.pick.Target
-	c := d.flight.copied.Load()
-	sound := c != nil && d.sender.Picker.IsSound(c.holder)
-	near := sound && c.holder.Domain == runner.Domain
-	if sound && !near && (c.ordered.IsZero() || time.Since(c.ordered) < d.flight.copyLife) {
+	runner := m.pick.Target
+	current := m.stream.replica.Load()
+	usable := current != nil && m.sender.Picker.IsSound(current.holder)
+	sameDomain := usable && current.holder.Domain == runner.Domain
+	if usable && !sameDomain && (current.orderedAt.IsZero() || time.Since(current.orderedAt) < m.stream.replicaRefreshAge) {
 		return
 	}
-	holder, found := d.holder(c, sound)
+	holder, found := m.nextHolder(current, usable)
 	if !found {
 		return
 	}
-	d.ordered = time.Now()
-	d.copying.Store(true)
+	m.replicaOrderedAt = time.Now()
+	m.replicating.Store(true)
 	go func() {
-		defer d.copying.Store(false)
-		d.order(ctx, c, runner, holder)
+		defer m.replicating.Store(false)
+		m.orderReplica(ctx, current, runner, holder)
 	}()
 }
 
-// holder returns the target that is to keep the next copy: another failure domain's, or that of the copy there is when it only grows old.
-func (d *guard) holder(c *copied, sound bool) (site.Target, bool) {
-	runner := d.pick.Target
-	if sound && c.holder.Domain != runner.Domain {
-		return c.holder, true
+// nextHolder returns the target that is to keep the next replica. A usable one in another failure domain stays where
+// it is. One in the running target's domain moves to another domain if possible, otherwise it stays and is ordered
+// again only when it is about to expire.
+func (m *monitor) nextHolder(current *replica, usable bool) (site.Target, bool) {
+	runner := m.pick.Target
+	if usable && current.holder.Domain != runner.Domain {
+		return current.holder, true
 	}
-	other, ok := d.flight.backupFor(runner, d.refused)
-	if !sound {
+	other, ok := m.stream.chooseHolder(runner, m.refusedHolder)
+	if !usable {
 		return other, ok
 	}
 	if ok && other.Domain != runner.Domain {
 		return other, true
 	}
-	return c.holder, !c.ordered.IsZero() && time.Since(c.ordered) >= d.flight.copyLife
+	return current.holder, !current.orderedAt.IsZero() && time.Since(current.orderedAt) >= m.stream.replicaRefreshAge
 }
 
-// order has the runner of a stream copy it to a holder.
-func (d *guard) order(ctx context.Context, old *copied, runner, holder site.Target) {
-	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
+// orderReplica orders the runner to send a replica of its stream to the holder, and puts that in place of the old one.
+func (m *monitor) orderReplica(ctx context.Context, old *replica, runner, holder site.Target) {
+	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
-	began := time.Now()
-	d.sender.Counts.Orders.Inc()
-	fields := log.Fields{"request": d.flight.call.ID, "target": runner.Name, "holder": holder.Name}
-	reply, body, err := d.sender.Link.Exchange(ctx, d.sender.Dialect.Copy(d.flight.call, runner, holder))
+	orderedAt := time.Now()
+	m.sender.Counts.Orders.Inc()
+	fields := log.Fields{"request": m.stream.call.ID, "target": runner.Name, "holder": holder.Name}
+	reply, body, err := m.sender.Link.Exchange(ctx, m.sender.Dialect.Copy(m.stream.call, runner, holder))
 	if err != nil {
-		d.sender.Log.WithFields(fields).WithError(err).Info("copy was not made")
+		m.sender.Log.WithFields(fields).WithError(err).Info("order of a replica failed")
 		return
 	}
-	handle, ok := d.sender.Dialect.Copied(reply.Status(), body)
+	handle, ok := m.sender.Dialect.Copied(reply.Status(), body)
 	if !ok {
-		d.refused = holder.Name
-		d.sender.Log.WithFields(fields).WithField("status", reply.Status()).Info("copy was not made")
+		m.refusedHolder = holder.Name
+		m.sender.Log.WithFields(fields).WithField("status", reply.Status()).Info("target refused to make a replica")
 		return
 	}
-	next := &copied{
-		holder:  holder,
-		source:  send.Source{Address: runner.Address, Handle: handle},
-		ordered: began,
-		release: d.sender.Picker.Keep(holder),
+	next := &replica{
+		holder:    holder,
+		source:    send.Source{Address: runner.Address, Handle: handle},
+		orderedAt: orderedAt,
+		release:   m.sender.Picker.Keep(holder),
 	}
-	if !d.flight.copied.CompareAndSwap(old, next) {
+	if !m.stream.replica.CompareAndSwap(old, next) {
 		next.release()
 		return
 	}
 	if old != nil {
 		old.release()
 	}
-	d.sender.Log.WithFields(fields).WithField("took-ms", time.Since(began).Milliseconds()).Debug("copy was made")
+	m.sender.Log.WithFields(fields).WithField("took-ms", time.Since(orderedAt).Milliseconds()).Debug("replica was made")
 }
 
-// dropCopy frees a copy that was ordered and is not needed any more.
-func (g *flight) dropCopy(ctx context.Context) {
-	c := g.swapCopy(nil)
-	if c == nil || c.ordered.IsZero() {
+// freeReplica releases the replica and, if it was ordered, has the target that made it free it.
+func (s *stream) freeReplica(ctx context.Context) {
+	r := s.swapReplica(nil)
+	if r == nil || r.orderedAt.IsZero() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replicaCallTimeout)
 	go func() {
 		defer cancel()
-		if _, _, err := g.sender.Link.Exchange(ctx, g.sender.Dialect.Drop(c.source)); err != nil {
-			g.sender.Log.WithError(err).WithFields(log.Fields{"request": g.call.ID, "holder": c.holder.Name}).Info("copy was not freed; it lapses by itself")
+		if _, _, err := s.sender.Link.Exchange(ctx, s.sender.Dialect.Drop(r.source)); err != nil {
+			s.sender.Log.WithError(err).WithFields(log.Fields{"request": s.call.ID, "holder": r.holder.Name}).Info("replica could not be freed; it will expire")
 		}
 	}()
 }
--- a/entry/flight/doc.go
+++ b/entry/flight/doc.go
@@ -1,4 +1,4 @@
-// Package flight runs streams: it passes events on as they arrive and, when a
-// target is lost, goes on at another one after the last event, from the copy
-// that the target kept elsewhere if there is one.
+// Package flight runs streamed requests. It relays events to the caller as they
+// arrive. When the target is lost, it continues the stream after the last event
+// at another target, from a replica of the prompt memory if there is one.
 package flight
--- a/entry/flight/event.go
+++ b/entry/flight/event.go
@@ -10,63 +10,64 @@
 )
 
 const (
-	eventBuffer = 4 << 10   // eventBuffer is the read buffer of a stream, in bytes.
-	maxEvent    = 256 << 10 // maxEvent bounds one event, in bytes.
+	eventBufferSize = 4 << 10   // size of the read buffer of a stream, in bytes
+	maxEventSize    = 256 << 10 // largest event that is accepted, in bytes
 )
 
-// errEvent is returned for an event over the bound.
-var errEvent = errors.New("event is too large")
+// errEventTooLarge is returned for an event over maxEventSize.
+var errEventTooLarge = errors.New("event is too large")
 
-// event is one whole event of a stream as it arrived; it is valid until the next one is read.
+// event is one whole event of a stream as it was received; raw is valid until the next event is read.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// events reads whole events from a stream.
-type events struct {
+// eventReader reads a stream event by event.
+type eventReader struct {
 	r   *bufio.Reader
-	raw []byte // raw holds the event that was read last.
+	raw []byte // last event; the next one reuses its memory
 }
 
-// newEvents returns a reader of events.
-func newEvents(r io.Reader) *events {
-	return &events{r: bufio.NewReaderSize(r, eventBuffer)}
+func newEventReader(r io.Reader) *eventReader {
+	return &eventReader{r: bufio.NewReaderSize(r, eventBufferSize)}
 }
 
-// next returns the next whole event; io.EOF says that the stream ended after one, io.ErrUnexpectedEOF that it was cut within one.
-func (e *events) next() (event, error) {
+// next returns the next whole event, io.EOF at the end of the stream, or io.ErrUnexpectedEOF if it ends within an
+// event.
+func (e *eventReader) next() (event, error) {
 	ev := event{raw: e.raw[:0]}
 	defer func() { e.raw = ev.raw }()
 	for {
 		line, err := e.r.ReadSlice('\n')
 		ev.raw = append(ev.raw, line...)
 		switch {
-		case err == bufio.ErrBufferFull && len(ev.raw) <= maxEvent:
+		case err == bufio.ErrBufferFull && len(ev.raw) <= maxEventSize:
 			continue
 		case err == io.EOF && len(bytes.TrimSpace(ev.raw)) > 0:
 			return event{}, io.ErrUnexpectedEOF
 		case err != nil:
 			return event{}, err
-		case len(ev.raw) > maxEvent:
-			return event{}, errEvent
+		case len(ev.raw) > maxEventSize:
+			return event{}, errEventTooLarge
 		}
-		field := bytes.TrimRight(line, "\r\n")
-		if len(field) == 0 {
+		trimmed := bytes.TrimRight(line, "\r\n")
+		if len(trimmed) == 0 {
 			return ev, nil
 		}
-		if value, ok := bytes.CutPrefix(field, []byte("id:")); ok {
+		if value, ok := bytes.CutPrefix(trimmed, []byte("id:")); ok {
 			ev.id = string(bytes.TrimSpace(value))
 		}
 	}
 }
 
-// follows tells whether an event comes next after the last one; events without a number are not checked.
-func follows(last, id string) bool {
-	before, err := strconv.ParseInt(last, 10, 64)
-	if last == "" || err != nil {
+// isNextEvent reports whether the number in an event's id is that of the last one plus 1. It is true if there is no
+// last event or either id is not a number.
+func isNextEvent(lastID, id string) bool {
+	lastNumber, err := strconv.ParseInt(lastID, 10, 64)
+	if lastID == "" || err != nil {
 		return true
 	}
-	now, err := strconv.ParseInt(id, 10, 64)
-	return err != nil || now == before+1
+	number, err := strconv.ParseInt(id, 10, 64)
+	return err != nil || number == lastNumber+1
 }
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -17,196 +17,206 @@
 )
 
 const (
-	streamRetry = 600 * time.Millisecond  // streamRetry is when callers of streams should come back; engines of a failure domain are back after a second or so.
-	maxUnsent   = 8                       // maxUnsent bounds the targets that one stream could not be sent to.
-	targetWait  = 400 * time.Millisecond  // targetWait is how long a stream waits for a target before it is refused; an eighth of the sheet's aim of 4.5 s is free.
-	resumeWait  = 1500 * time.Millisecond // resumeWait is how long a begun stream waits for a target; its caller gives it up after 5.6 s of silence.
-	targetPause = 50 * time.Millisecond   // targetPause is the time between two looks for a target.
+	// streamRetryAfter is the retry delay sent with a refusal; the engines of a failed domain are back after about 1 s.
+	streamRetryAfter = 600 * time.Millisecond
+	// maxUnsent bounds the attempts of one stream that did not reach the intended target.
+	maxUnsent = 8
+	// firstTargetTimeout is how long a new stream waits for an available target before it is refused; an eighth of
+	// the sheet's latency objective of 4.5 s is spare.
+	firstTargetTimeout = 400 * time.Millisecond
+	// nextTargetTimeout is that wait for a stream whose caller has the response head already; callers give up a
+	// stream after 5.6 s without an event.
+	nextTargetTimeout  = 1500 * time.Millisecond
+	targetPollInterval = 50 * time.Millisecond // targetPollInterval is the delay between two tries to get a target.
 )
 
-// flight is a stream on its way; one goroutine owns it.
-type flight struct {
-	sender   *send.Sender
-	call     chain.Call
-	request  chain.Forward
-	policy   site.Stream
-	service  string
-	copies   bool          // copies tells that targets keep copies for each other.
-	memory   int           // memory is the capacity of one target in tokens, or 0.
-	copyLife time.Duration // copyLife is the age at which a copy that was ordered is ordered again.
-	avoid    map[string]bool
-	sends    int
-	unsent   int
-	resumed  int
-	events   int
-	last     string      // last is the id of the last event that the caller has.
-	begun    atomic.Bool // begun tells that the caller has the head of the response.
-	ran      bool        // ran tells that a target may have run the request.
-	failure  *chain.Passed
-	copied   atomic.Pointer[copied] // copied is the copy of the run that began last, or nil.
-	sent     time.Time              // sent is when the last event was delivered.
-	steady   bool                   // steady tells that the last event came from the run that is under way.
-	first    time.Duration
-	pause    time.Duration
+// stream is the state of one streamed request over all its attempts. One goroutine owns it; others change only the
+// atomic fields.
+type stream struct {
+	sender            *send.Sender
+	call              chain.Call
+	request           chain.Forward
+	policy            site.Stream
+	service           string
+	canReplicate      bool            // whether the stream is resumable and targets keep replicas for each other
+	memoryTokens      int             // capacity of one target in tokens, or 0
+	replicaRefreshAge time.Duration   // age at which an ordered replica is ordered again
+	avoidedTargets    map[string]bool // names of the targets that failed an attempt
+	sendCount         int             // attempts whose target may have received the request
+	unsentCount       int             // attempts that did not reach the intended target
+	resumeCount       int             // times the stream went on at another target after its first event
+	eventCount        int             // events delivered to the caller
+	lastEventID       string          // id of the last event that the caller has
+	headSent          atomic.Bool     // whether the caller has the head of the response
+	mayHaveRun        bool            // whether a target may have run the request
+	failedResponse    *chain.Passed   // a target's error response, passed on if no other attempt succeeds
+	replica           atomic.Pointer[replica]
+	lastEventAt       time.Time     // when the last event was delivered
+	attemptDelivered  bool          // whether the current attempt has delivered an event
+	firstEventDelay   time.Duration // time from the arrival of the request to the first event
+	longestGap        time.Duration // longest time between two events
 }
 
-// copied is a copy of a run at another target.
-type copied struct {
-	holder  site.Target
-	source  send.Source
-	ordered time.Time // ordered is when the copy was ordered; zero for one that grows with its run.
-	release func()    // release counts the copy off.
+// replica is a copy of a stream's prompt memory at another target than the one that runs it.
+type replica struct {
+	holder    site.Target // target that keeps the replica
+	source    send.Source // where another target gets it from
+	orderedAt time.Time   // zero for a replica that the running target keeps up to date from its first event on
+	release   func()      // removes the replica from the picker's load of its holder
 }
 
-// Run runs a stream until it is complete, refused or cut, or its caller has left.
-func Run(ctx context.Context, s *send.Sender, c chain.Call, f chain.Forward, policy site.Stream) chain.Answer {
+// Run runs a stream until it is complete, refused or interrupted for good, or its caller has left.
+func Run(ctx context.Context, sender *send.Sender, c chain.Call, f chain.Forward, policy site.Stream) chain.Answer {
 	ctx, cancel := context.WithDeadline(ctx, f.Deadline)
 	defer cancel()
-	g := newFlight(s, c, f, policy)
+	s := newStream(sender, c, f, policy)
 	ctx, expire := context.WithCancelCause(ctx)
 	defer expire(nil)
 	if at, ok := send.Timeout(c, f); ok {
 		timer := time.AfterFunc(time.Until(at), func() {
-			if !g.begun.Load() {
-				expire(errTimeout)
+			if !s.headSent.Load() {
+				expire(errFirstEventTimeout)
 			}
 		})
 		defer timer.Stop()
 	}
-	return g.run(ctx)
+	return s.run(ctx)
 }
 
-// errTimeout ends a stream whose first event did not come within its route's timeout.
-var errTimeout = errors.New("the route's timeout passed before the first event")
+// errFirstEventTimeout ends a stream that had no event within its route's timeout.
+var errFirstEventTimeout = errors.New("the route's timeout passed before the first event")
 
-// inTime tells whether a stream that was ended had time left, so that its caller is gone.
-func inTime(ctx context.Context) bool {
-	return ctx.Err() == nil || !errors.Is(ctx.Err(), context.DeadlineExceeded) && !errors.Is(context.Cause(ctx), errTimeout)
+// hasTimeLeft reports whether neither the deadline nor the timeout for the first event has passed. When the context
+// of a stream ends with time left, its caller is gone.
+func hasTimeLeft(ctx context.Context) bool {
+	return ctx.Err() == nil || !errors.Is(ctx.Err(), context.DeadlineExceeded) && !errors.Is(context.Cause(ctx), errFirstEventTimeout)
 }
 
-// newFlight returns a stream that has not been sent.
-func newFlight(s *send.Sender, c chain.Call, f chain.Forward, policy site.Stream) *flight {
-	g := &flight{
-		sender:  s,
-		call:    c,
-		request: f,
-		policy:  policy,
-		service: c.Route.Pick(rand.Float64()),
-		avoid:   make(map[string]bool),
-		last:    f.LastEvent,
+// newStream returns a stream whose request has not been sent.
+func newStream(sender *send.Sender, c chain.Call, f chain.Forward, policy site.Stream) *stream {
+	s := &stream{
+		sender:         sender,
+		call:           c,
+		request:        f,
+		policy:         policy,
+		service:        c.Route.Pick(rand.Float64()),
+		avoidedTargets: make(map[string]bool),
+		lastEventID:    f.LastEvent,
 	}
-	if service, ok := c.Site.Service(g.service); ok && service.Engine != nil {
-		g.copies = service.Engine.Copies && policy.Resumable
-		g.memory = service.Engine.Memory
-		g.copyLife = time.Duration(copyLife * float64(service.Engine.Keep))
+	if service, ok := c.Site.Service(s.service); ok && service.Engine != nil {
+		s.canReplicate = service.Engine.Copies && policy.Resumable
+		s.memoryTokens = service.Engine.Memory
+		s.replicaRefreshAge = time.Duration(replicaRefreshRatio * float64(service.Engine.Keep))
 	}
-	return g
+	return s
 }
 
-// run sends the request and goes on elsewhere until the stream is complete or may not go on.
-func (g *flight) run(ctx context.Context) chain.Answer {
-	g.sender.Request(g.service)
-	defer g.dropCopy(ctx)
+// run sends the request to one target after another until the stream is complete or may not go on.
+func (s *stream) run(ctx context.Context) chain.Answer {
+	s.sender.Request(s.service)
+	defer s.freeReplica(ctx)
 	for {
-		pick, source, ok := g.choose(ctx)
+		pick, source, ok := s.chooseTarget(ctx)
 		if !ok {
-			return g.giveUp(ctx, "no target of the service is left")
+			return s.giveUp(ctx, "no target of the service is left")
 		}
-		began := time.Now()
-		result := g.attempt(ctx, pick, source)
+		startedAt := time.Now()
+		result := s.tryTarget(ctx, pick, source)
 		pick.Release()
-		if answer, done := g.judge(ctx, pick, result, began); done {
+		if answer, done := s.handleOutcome(ctx, pick, result, startedAt); done {
 			return answer
 		}
 	}
 }
 
-// choose returns the next target, and the copy to go on from if that target has one.
-func (g *flight) choose(ctx context.Context) (*picker.Pick, send.Source, bool) {
-	if c := g.swapCopy(nil); c != nil {
-		if pick, ok := g.sender.Picker.Sound(c.holder, g.want()); ok {
-			return pick, c.source, true
+// chooseTarget returns the target of the next attempt. The holder of a replica comes first, returned together with
+// the replica's source. When no target is left, those that failed an attempt are tried again.
+func (s *stream) chooseTarget(ctx context.Context) (*picker.Pick, send.Source, bool) {
+	if r := s.swapReplica(nil); r != nil {
+		if pick, ok := s.sender.Picker.Sound(r.holder, s.want()); ok {
+			return pick, r.source, true
 		}
 	}
-	patience := targetWait
-	if g.begun.Load() {
-		patience = resumeWait
+	timeout := firstTargetTimeout
+	if s.headSent.Load() {
+		timeout = nextTargetTimeout
 	}
-	until := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for {
-		pick, ok := g.sender.Picker.Stream(g.want())
+		pick, ok := s.sender.Picker.Stream(s.want())
 		if ok {
 			return pick, send.Source{}, true
 		}
-		clear(g.avoid)
-		if time.Now().After(until) || !wait.For(ctx, targetPause) {
+		clear(s.avoidedTargets)
+		if time.Now().After(deadline) || !wait.For(ctx, targetPollInterval) {
 			return nil, send.Source{}, false
 		}
 	}
 }
 
-// want describes the target that is needed.
-func (g *flight) want() picker.Want {
-	session := g.request.Session
+// want returns the criteria by which the picker chooses a target.
+func (s *stream) want() picker.Want {
+	session := s.request.Session
 	if session == "" {
-		session = g.call.ID
+		session = s.call.ID
 	}
-	return picker.Want{Service: g.service, Session: session, Prompt: g.request.Prompt, Memory: g.memory, Avoid: g.avoid}
+	return picker.Want{Service: s.service, Session: session, Prompt: s.request.Prompt, Memory: s.memoryTokens, Avoid: s.avoidedTargets}
 }
 
-// judge decides what follows from the end of an attempt.
-func (g *flight) judge(ctx context.Context, pick *picker.Pick, result ending, began time.Time) (chain.Answer, bool) {
-	if _, done := result.(complete); !done && ctx.Err() != nil {
-		g.ran = g.ran || ranAt(result)
-		return g.giveUp(ctx, "time is up"), true
+// handleOutcome records how an attempt ended. It returns the answer to the caller and true, or nil and false if
+// another attempt follows.
+func (s *stream) handleOutcome(ctx context.Context, pick *picker.Pick, result outcome, startedAt time.Time) (chain.Answer, bool) {
+	if _, done := result.(completed); !done && ctx.Err() != nil {
+		s.mayHaveRun = s.mayHaveRun || mayHaveRun(result)
+		return s.giveUp(ctx, "time is up"), true
 	}
 	switch r := result.(type) {
-	case complete:
-		return chain.Finished{Events: g.events, Resumed: g.resumed, First: g.first, Pause: g.pause}, true
-	case refusedBy:
-		if !g.begun.Load() && !(r.passed.Failed() && g.policy.Resumable) {
-			return r.passed, true
+	case completed:
+		return chain.Finished{Events: s.eventCount, Resumed: s.resumeCount, First: s.firstEventDelay, Pause: s.longestGap}, true
+	case wholeResponse:
+		if !s.headSent.Load() && !(r.response.Failed() && s.policy.Resumable) {
+			return r.response, true
 		}
 		pick.Failed()
-		g.failure = &r.passed
-	case unwanted:
+		s.failedResponse = &r.response
+	case callerGone:
 		return chain.Left{}, true
-	case unrun:
-		g.drop(pick, r.lost, r.cause)
-	case broken:
-		g.drop(pick, true, r.cause)
+	case notRun:
+		s.reportFailure(pick, r.unreachable, r.cause)
+	case interrupted:
+		s.reportFailure(pick, true, r.cause)
 	}
-	g.avoid[pick.Target.Name] = true
-	g.ran = g.ran || ranAt(result)
-	g.note(pick, result, began)
-	return g.again(result)
+	s.avoidedTargets[pick.Target.Name] = true
+	s.mayHaveRun = s.mayHaveRun || mayHaveRun(result)
+	s.logOutcome(pick, result, startedAt)
+	return s.retryOrFinish(result)
 }
 
-// copyAt names the target that holds the copy, or is empty.
-func (g *flight) copyAt() string {
-	if c := g.copied.Load(); c != nil {
-		return c.holder.Name
+// holderName returns the name of the target that holds the replica, or an empty name.
+func (s *stream) holderName() string {
+	if r := s.replica.Load(); r != nil {
+		return r.holder.Name
 	}
 	return ""
 }
 
-// ranAt tells whether a target may have run the request.
-func ranAt(result ending) bool {
-	_, unran := result.(unrun)
-	return !unran
+// mayHaveRun reports whether a target may have run the request in an attempt.
+func mayHaveRun(result outcome) bool {
+	_, didNotRun := result.(notRun)
+	return !didNotRun
 }
 
-// swapCopy puts another copy in the place of the one there was, and returns that.
-func (g *flight) swapCopy(next *copied) *copied {
-	old := g.copied.Swap(next)
+// swapReplica sets the replica, which may be nil, and returns the previous one after its release.
+func (s *stream) swapReplica(next *replica) *replica {
+	old := s.replica.Swap(next)
 	if old != nil {
 		old.release()
 	}
 	return old
 }
 
-// drop tells the picker of a failed attempt.
-func (g *flight) drop(pick *picker.Pick, lost bool, cause string) {
+// reportFailure tells the picker that a target was lost, which makes it suspect, or that it only failed the request.
+func (s *stream) reportFailure(pick *picker.Pick, lost bool, cause string) {
 	if lost {
 		pick.Lost(cause)
 		return
@@ -214,81 +224,81 @@
 	pick.Failed()
 }
 
-// again tells whether the stream may go on at another target.
-func (g *flight) again(result ending) (chain.Answer, bool) {
-	if r, ok := result.(unrun); ok && (!r.sent || r.moved) {
-		g.unsent++
-		if g.unsent <= maxUnsent && (!r.moved || g.sender.Repeat(g.service)) {
+// retryOrFinish returns nil and false if the stream may go on at another target, otherwise its final answer and true.
+func (s *stream) retryOrFinish(result outcome) (chain.Answer, bool) {
+	if r, ok := result.(notRun); ok && (!r.received || r.misdirected) {
+		s.unsentCount++
+		if s.unsentCount <= maxUnsent && (!r.misdirected || s.sender.Repeat(s.service)) {
 			return nil, false
 		}
 	}
 	reason := ""
 	switch {
-	case g.ran && !g.policy.Resumable:
+	case s.mayHaveRun && !s.policy.Resumable:
 		reason = "its target failed and it may not be resumed"
-	case g.sends >= g.call.Route.Attempts:
+	case s.sendCount >= s.call.Route.Attempts:
 		reason = "its attempts are used up"
-	case !g.sender.Repeat(g.service):
+	case !s.sender.Repeat(s.service):
 		reason = "the retry bound is reached"
 	default:
 		return nil, false
 	}
-	return g.conclude(reason), true
+	return s.finalAnswer(reason), true
 }
 
-// conclude answers when the stream goes on nowhere.
-func (g *flight) conclude(reason string) chain.Answer {
+// finalAnswer returns the answer of a stream that does not go on at another target.
+func (s *stream) finalAnswer(reason string) chain.Answer {
 	switch {
-	case g.begun.Load():
-		g.sender.Counts.Severed.Inc()
+	case s.headSent.Load():
+		s.sender.Counts.Severed.Inc()
 		return chain.Severed{Reason: reason}
-	case g.failure != nil:
-		return *g.failure
-	case g.ran && !g.policy.Resumable:
+	case s.failedResponse != nil:
+		return *s.failedResponse
+	case s.mayHaveRun && !s.policy.Resumable:
 		return send.Unknown(deny.KindOutcome, "%s; the request may have run", reason)
-	case g.ran:
+	case s.mayHaveRun:
 		return send.Unknown(deny.KindOutcome, "%s", reason)
 	default:
-		return send.Unavailable(streamRetry, "%s", reason)
+		return send.Unavailable(streamRetryAfter, "%s", reason)
 	}
 }
 
-// giveUp answers when time is up, the caller has left or no target is there.
-func (g *flight) giveUp(ctx context.Context, reason string) chain.Answer {
+// giveUp returns the answer when time is up, the caller has left or no target is available.
+func (s *stream) giveUp(ctx context.Context, reason string) chain.Answer {
 	switch {
 	case ctx.Err() == nil:
-		return g.conclude(reason)
-	case inTime(ctx):
+		return s.finalAnswer(reason)
+	case hasTimeLeft(ctx):
 		return chain.Left{}
-	case g.begun.Load() || g.failure != nil || !g.ran:
-		return g.conclude(reason)
+	case s.headSent.Load() || s.failedResponse != nil || !s.mayHaveRun:
+		return s.finalAnswer(reason)
 	default:
 		return send.Unknown(deny.KindTimeout, "no event in time")
 	}
 }
 
-// note logs the end of an attempt that did not complete the stream.
-func (g *flight) note(pick *picker.Pick, result ending, began time.Time) {
+// logOutcome logs why an attempt did not complete the stream.
+func (s *stream) logOutcome(pick *picker.Pick, result outcome, startedAt time.Time) {
 	fields := log.Fields{
-		"request":  g.call.ID,
+		"request":  s.call.ID,
 		"target":   pick.Target.Name,
 		"domain":   pick.Target.Domain,
-		"service":  g.service,
-		"sends":    g.sends,
-		"events":   g.events,
-		"last":     g.last,
-		"after-ms": time.Since(began).Milliseconds(),
-		"holder":   g.copyAt(),
+		"service":  s.service,
+		"sends":    s.sendCount,
+		"events":   s.eventCount,
+		"last":     s.lastEventID,
+		"after-ms": time.Since(startedAt).Milliseconds(),
+		"holder":   s.holderName(),
 	}
 	switch r := result.(type) {
-	case unrun:
-		g.sender.Log.WithFields(fields).WithField("cause", r.cause).Info("target did not run the stream")
-	case broken:
-		if !g.sent.IsZero() {
-			fields["silence-ms"] = time.Since(g.sent).Milliseconds()
+	case notRun:
+		s.sender.Log.WithFields(fields).WithField("cause", r.cause).Info("target did not run the stream")
+	case interrupted:
+		if !s.lastEventAt.IsZero() {
+			fields["silence-ms"] = time.Since(s.lastEventAt).Milliseconds()
 		}
-		g.sender.Log.WithFields(fields).WithField("cause", r.cause).Info("stream was cut")
-	case refusedBy:
-		g.sender.Log.WithFields(fields).WithField("status", r.passed.Head.Status).Info("target failed the stream")
+		s.sender.Log.WithFields(fields).WithField("cause", r.cause).Info("stream ended before its last event")
+	case wholeResponse:
+		s.sender.Log.WithFields(fields).WithField("status", r.response.Head.Status).Info("target answered without a stream")
 	}
 }
--- a/entry/flight/guard.go
+++ b/entry/flight/guard.go
@@ -12,156 +12,159 @@
 	"github.com/pkg/errors"
 )
 
-// Errors that end the connection to a target.
+// Errors with which a monitor ends an attempt.
 var (
-	errSilent = errors.New("target fell silent")
-	errDark   = errors.New("target is silent and takes no connection")
-	errMissed = errors.New("target has made events that did not arrive, or does not have the request")
+	errStalled     = errors.New("target sent no event in time")
+	errUnreachable = errors.New("target stopped sending and accepts no connection")
+	errStreamLost  = errors.New("target reports events that did not arrive, or does not have the request")
 )
 
-// guard ends an attempt whose target falls silent.
-type guard struct {
-	flight  *flight
-	pick    *picker.Pick
-	copied  bool
-	prompt  int
-	began   time.Time
-	heard   atomic.Int64  // heard is when the last event came, in nanoseconds since began; 0 before the first.
-	probed  time.Duration // probed is when the target was probed last, since began.
-	sender  *send.Sender
-	ordered time.Time   // ordered is when a copy was ordered last.
-	refused string      // refused names the target that refused to hold a copy last; the closure that makes a copy writes it while copying is set.
-	copying atomic.Bool // copying tells that a copy is being made.
-	end     chan struct{}
-	done    chan struct{}
+// monitor cancels an attempt whose target stops sending, and keeps a replica of its stream at another target.
+type monitor struct {
+	stream           *stream
+	pick             *picker.Pick
+	fromReplica      bool // whether the attempt starts from a replica
+	promptTokens     int
+	startedAt        time.Time
+	lastEvent        atomic.Int64  // time of the last event in nanoseconds since startedAt, 0 before the first
+	lastProbe        time.Duration // time of the last probe since startedAt
+	sender           *send.Sender
+	replicaOrderedAt time.Time     // when a replica was ordered last
+	refusedHolder    string        // last target to refuse a replica; written by orderReplica while replicating is set
+	replicating      atomic.Bool   // whether orderReplica is running
+	stopping         chan struct{} // closed by stop
+	stopped          chan struct{} // closed when the goroutine has ended
 }
 
-// newGuard starts a closure that looks at an attempt until it is stopped.
-func newGuard(ctx context.Context, g *flight, pick *picker.Pick, copied bool, cancel context.CancelCauseFunc) *guard {
-	d := &guard{
-		flight: g,
-		pick:   pick,
-		copied: copied,
-		prompt: g.request.Prompt,
-		began:  time.Now(),
-		sender: g.sender,
-		end:    make(chan struct{}),
-		done:   make(chan struct{}),
+// startMonitor starts a goroutine that checks an attempt at intervals until it is stopped or cancels the attempt.
+func startMonitor(ctx context.Context, s *stream, pick *picker.Pick, fromReplica bool, cancel context.CancelCauseFunc) *monitor {
+	m := &monitor{
+		stream:       s,
+		pick:         pick,
+		fromReplica:  fromReplica,
+		promptTokens: s.request.Prompt,
+		startedAt:    time.Now(),
+		sender:       s.sender,
+		stopping:     make(chan struct{}),
+		stopped:      make(chan struct{}),
 	}
 	go func() {
-		defer close(d.done)
-		look := time.NewTicker(lookPeriod)
-		defer look.Stop()
+		defer close(m.stopped)
+		ticker := time.NewTicker(checkInterval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-d.end:
+			case <-m.stopping:
 				return
-			case <-look.C:
+			case <-ticker.C:
 			}
-			if err := d.look(ctx); err != nil {
-				g.sender.Counts.Silences.Inc()
+			if err := m.check(ctx); err != nil {
+				s.sender.Counts.Silences.Inc()
 				cancel(err)
 				return
 			}
-			d.keepCopy(ctx)
+			m.maintainReplica(ctx)
 		}
 	}()
-	return d
+	return m
 }
 
-// hear notes an event.
-func (d *guard) hear() {
-	d.heard.Store(int64(time.Since(d.began)))
+// recordEvent records the arrival of an event.
+func (m *monitor) recordEvent() {
+	m.lastEvent.Store(int64(time.Since(m.startedAt)))
 }
 
-// look returns an error when the target has been silent for too long, or takes no connections when it is probed. A stream that may not be resumed is not ended for silence, since nothing could follow.
-func (d *guard) look(ctx context.Context) error {
-	if !d.flight.policy.Resumable {
+// check returns an error when the target has sent no event for too long, or fails a probe in the meantime. A stream
+// that may not be resumed is never ended for silence, since no other target could continue it.
+func (m *monitor) check(ctx context.Context) error {
+	if !m.stream.policy.Resumable {
 		return nil
 	}
-	heard := time.Duration(d.heard.Load())
-	now := time.Since(d.began)
-	silence := now - heard
-	if silence > d.patience(heard) {
-		if heard > 0 {
-			d.sender.Learn(d.flight.service, func(p flow.Pace) flow.Pace { return p.WithSilence(silence) })
+	lastEvent := time.Duration(m.lastEvent.Load())
+	now := time.Since(m.startedAt)
+	silence := now - lastEvent
+	if silence > m.silenceTimeout(lastEvent) {
+		if lastEvent > 0 {
+			m.sender.Learn(m.stream.service, func(p flow.Pace) flow.Pace { return p.WithSilence(silence) })
 		}
-		return errSilent
+		return errStalled
 	}
-	near := d.pick.DomainLostSince(d.began.Add(max(heard, d.probed)))
-	if silence <= d.unsure(heard, near) || d.probed > heard && now-d.probed < pauseOf(near) {
+	domainLoss := m.pick.DomainLostSince(m.startedAt.Add(max(lastEvent, m.lastProbe)))
+	if silence <= m.probeDelay(lastEvent, domainLoss) || m.lastProbe > lastEvent && now-m.lastProbe < minProbeInterval(domainLoss) {
 		return nil
 	}
-	d.probed = now
+	m.lastProbe = now
 	var err error
-	if heard == 0 && !d.copied && (near || now > askAfter) {
-		err = d.ask(ctx)
-	} else if d.sender.Link.Probe(ctx, d.pick.Target.Address) != nil {
-		err = errDark
+	if lastEvent == 0 && !m.fromReplica && (domainLoss || now > progressCheckDelay) {
+		err = m.checkProgress(ctx)
+	} else if m.sender.Link.Probe(ctx, m.pick.Target.Address) != nil {
+		err = errUnreachable
 	}
-	if ctx.Err() != nil || time.Duration(d.heard.Load()) != heard {
+	if ctx.Err() != nil || time.Duration(m.lastEvent.Load()) != lastEvent {
 		return nil
 	}
 	return err
 }
 
-// ask asks the target how far the stream has come, and returns an error when its events are lost or it is not there.
-func (d *guard) ask(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// checkProgress reads the target's report. It returns an error when the target has produced events, none of which
+// arrived, when it does not have the request, or when it takes no connection.
+func (m *monitor) checkProgress(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, progressCheckTimeout)
 	defer cancel()
-	_, body, err := d.sender.Link.Exchange(ctx, d.sender.Dialect.Ask(d.pick.Target))
-	var unsent *link.NotSentError
-	if errors.As(err, &unsent) {
-		return errDark
+	_, body, err := m.sender.Link.Exchange(ctx, m.sender.Dialect.Ask(m.pick.Target))
+	var notSentErr *link.NotSentError
+	if errors.As(err, &notSentErr) {
+		return errUnreachable
 	}
 	if err != nil {
-		return nil // A target that is slow to report may still be reading the prompt; the patience decides.
+		return nil // A target that is slow to report may still be reading the prompt; silenceTimeout bounds that.
 	}
-	p, err := d.sender.Dialect.Progress(d.flight.call.ID, body)
+	p, err := m.sender.Dialect.Progress(m.stream.call.ID, body)
 	if err != nil {
-		d.sender.Log.WithError(err).WithField("target", d.pick.Target.Name).Info("report cannot be read")
+		m.sender.Log.WithError(err).WithField("target", m.pick.Target.Name).Info("report of the target cannot be decoded")
 		return nil
 	}
-	if p.Events > 0 || !p.Listed && p.Unnamed == 0 && time.Since(d.began) > reportLag {
-		return errMissed
+	if p.Events > 0 || !p.Listed && p.Unnamed == 0 && time.Since(m.startedAt) > reportLag {
+		return errStreamLost
 	}
 	return nil
 }
 
-// patience returns the silence that ends an attempt.
-func (d *guard) patience(heard time.Duration) time.Duration {
+// silenceTimeout returns the time without an event that ends an attempt.
+func (m *monitor) silenceTimeout(lastEvent time.Duration) time.Duration {
 	switch {
-	case heard > 0:
-		return d.sender.Pace(d.flight.service).Cut()
-	case d.copied:
-		return copyPatience
+	case lastEvent > 0:
+		return m.sender.Pace(m.stream.service).Cut()
+	case m.fromReplica:
+		return replicaEventTimeout
 	default:
-		return firstPatience + time.Duration(d.prompt)*tokenPatience
+		return firstEventTimeout + time.Duration(m.promptTokens)*timeoutPerPromptToken
 	}
 }
 
-// stop ends the looks.
-func (d *guard) stop() {
-	close(d.end)
-	<-d.done
+// stop ends the checks and waits for the goroutine.
+func (m *monitor) stop() {
+	close(m.stopping)
+	<-m.stopped
 }
 
-// pauseOf returns the least time between two probes.
-func pauseOf(near bool) time.Duration {
-	if near {
-		return nearProbe
+// minProbeInterval returns the least time between two probes.
+func minProbeInterval(domainLoss bool) time.Duration {
+	if domainLoss {
+		return domainLossProbeInterval
 	}
-	return firstProbe
+	return probeInterval
 }
 
-// unsure returns the silence after which the target is probed; near tells that another target of the failure domain was lost since.
-func (d *guard) unsure(heard time.Duration, near bool) time.Duration {
+// probeDelay returns the time without an event after which the target is probed. It is shorter when the failure
+// domain has lost a target since the last event and the last probe.
+func (m *monitor) probeDelay(lastEvent time.Duration, domainLoss bool) time.Duration {
 	switch {
-	case near:
-		return max(silenceShared, d.sender.Pace(d.flight.service).Probe()/2)
-	case heard > 0 || d.copied:
-		return d.sender.Pace(d.flight.service).Probe()
+	case domainLoss:
+		return max(domainLossProbeDelay, m.sender.Pace(m.stream.service).Probe()/2)
+	case lastEvent > 0 || m.fromReplica:
+		return m.sender.Pace(m.stream.service).Probe()
 	default:
-		return firstProbe
+		return probeInterval
 	}
 }
