--- a/entry/link/conn.go
+++ b/entry/link/conn.go
@@ -13,22 +13,22 @@
 // conn is one connection to a target.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	written int       // written counts the bytes that were handed to the network for the current request.
-	idle    time.Time // idle is when the connection was put back.
-	expires time.Time // expires is when the target may close the idle connection, or zero.
-	used    bool
+	reader       *bufio.Reader
+	bytesWritten int       // bytes of the current request that were handed to the network
+	idleSince    time.Time // when the connection became idle
+	expiresAt    time.Time // when the target may close the idle connection
+	wasPooled    bool      // whether the connection has been idle before
 }
 
-// Write counts what is handed to the network.
+// Write adds the bytes handed to the network to bytesWritten.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.written += n
+	c.bytesWritten += n
 	return n, err
 }
 
-// quiet tells whether nothing has arrived on an idle connection: neither bytes nor its end.
-func (c *conn) quiet() bool {
+// isReusable reports whether an idle connection has received nothing: no bytes, no end of file and no error.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -40,18 +40,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noInput := false
 	err = control.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, _, failure := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = failure == syscall.EAGAIN
+		_, _, errno := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noInput = errno == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noInput
 }
 
-// expiry returns when a target may close an idle connection, by what its response says.
-func expiry(now time.Time, h http.Header, margin, fallback time.Duration) time.Time {
+// idleDeadline returns when a target may close an idle connection: after the timeout in the Keep-Alive header of its
+// response less the margin, or after the fallback.
+func idleDeadline(now time.Time, h http.Header, margin, fallback time.Duration) time.Time {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/entry/link/encode.go
+++ b/entry/link/encode.go
@@ -9,18 +9,19 @@
 	"github.com/pkg/errors"
 )
 
-const headSize = 512 // headSize is the room kept for the head of a request beside its body, in bytes; most heads fit.
+const headSizeHint = 512 // bytes allocated for the head of a request; most heads fit
 
-// errUnsafe is returned for a request that would read as another one.
-var errUnsafe = errors.New("request holds characters that end a line")
+// errUnsafeChars is returned for a request that its target could read as another request.
+var errUnsafeChars = errors.New("request line or header contains unsafe characters")
 
-// encode returns the head of a request, its target and headers as given, and what of its body has to be sent after it: small bodies are part of the first write.
-func encode(r Request) (head, rest []byte, err error) {
-	if endsLine(r.Method) || endsLine(r.Path) || endsLine(r.Host) || strings.ContainsAny(r.Method+r.Path+r.Host, " \t") {
-		return nil, nil, fmt.Errorf("%s %q: %w", r.Method, r.Path, errUnsafe)
+// encodeRequest returns the head of a request, with path and headers exactly as given, and the body that is to be
+// sent after it. A small body is part of head, so that one write sends both, and rest is nil.
+func encodeRequest(r Request) (head, rest []byte, err error) {
+	if endsHeaderLine(r.Method) || endsHeaderLine(r.Path) || endsHeaderLine(r.Host) || strings.ContainsAny(r.Method+r.Path+r.Host, " \t") {
+		return nil, nil, fmt.Errorf("%s %q: %w", r.Method, r.Path, errUnsafeChars)
 	}
-	size := headSize
-	if len(r.Body) <= readSize {
+	size := headSizeHint
+	if len(r.Body) <= readBufferSize {
 		size += len(r.Body)
 	}
 	head = make([]byte, 0, size)
@@ -28,8 +29,8 @@
 	head = append(append(head, r.Host...), "\r\n"...)
 	for name, values := range r.Header {
 		for _, value := range values {
-			if endsLine(name) || endsLine(value) {
-				return nil, nil, fmt.Errorf("header %q: %w", name, errUnsafe)
+			if endsHeaderLine(name) || endsHeaderLine(value) {
+				return nil, nil, fmt.Errorf("header %q: %w", name, errUnsafeChars)
 			}
 			head = append(append(append(append(head, name...), ": "...), value...), "\r\n"...)
 		}
@@ -38,13 +39,13 @@
 		head = append(strconv.AppendInt(append(head, "Content-Length: "...), int64(len(r.Body)), 10), "\r\n"...)
 	}
 	head = append(head, "\r\n"...)
-	if len(r.Body) <= readSize {
+	if len(r.Body) <= readBufferSize {
 		return append(head, r.Body...), nil, nil
 	}
 	return head, r.Body, nil
 }
 
-// endsLine tells whether a text would end a line of a head, or the head.
-func endsLine(text string) bool {
+// endsHeaderLine reports whether a text contains a character at which a target may end a header line.
+func endsHeaderLine(text string) bool {
 	return strings.ContainsAny(text, "\r\n\x00")
 }
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -17,34 +17,38 @@
 )
 
 const (
-	dialTimeout   = 150 * time.Millisecond // dialTimeout bounds the wait for a connection; failure domains are milliseconds apart, so a target that needs longer is dark.
-	idleFallback  = 2 * time.Second        // idleFallback is how long a connection is kept when the target names no timeout.
-	idleMargin    = 500 * time.Millisecond // idleMargin is taken off the timeout that a target names, which is in whole seconds.
-	maxIdle       = 8                      // maxIdle bounds the idle connections to one target, where the request gives no lower bound.
-	userTimeout   = 2 * time.Second        // userTimeout ends a connection whose bytes are not acknowledged.
-	probeIdle     = time.Second            // probeIdle is the silence after which a connection is probed.
-	probeInterval = 500 * time.Millisecond // probeInterval is the time between two such probes.
-	probeCount    = 2                      // probeCount is the number of unanswered probes that end a connection.
-	readSize      = 4 << 10                // readSize is the buffer of one connection, in bytes.
-	maxStrays     = 3                      // maxStrays bounds the responses to other requests that are skipped.
-	maxWhole      = 16 << 20               // maxWhole bounds a response that is held in memory, in bytes.
+	// dialTimeout bounds the wait for a connection. Failure domains are milliseconds apart, so a target that takes
+	// longer is unreachable.
+	dialTimeout        = 150 * time.Millisecond
+	defaultIdleTimeout = 2 * time.Second        // idle time after which a connection is closed if its target gives none
+	idleTimeoutMargin  = 500 * time.Millisecond // subtracted from a target's idle timeout, which is in whole seconds
+	maxIdleConns       = 8                      // idle connections to one target, where a request sets no lower bound
+	tcpUserTimeout     = 2 * time.Second        // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
+	keepAliveIdle      = time.Second            // silence before the first TCP keep-alive probe
+	keepAliveInterval  = 500 * time.Millisecond // time between two keep-alive probes
+	keepAliveCount     = 2                      // unanswered keep-alive probes that end a connection
+	readBufferSize     = 4 << 10                // in bytes, for each connection
+	maxStrayResponses  = 3                      // most responses that are read to find the right one
+	maxBodySize        = 16 << 20               // in bytes, for a response that is read whole
 )
 
-// Errors of one send.
+// Errors of a request that may have run.
 var (
-	ErrBroken = errors.New("response is not whole or not in the protocol")
-	ErrStray  = errors.New("response belongs to another request")
+	// ErrBroken means that the body of a response could not be read whole.
+	ErrBroken = errors.New("response is incomplete, malformed or too large")
+	// ErrStray means that the connection returned only responses to other requests.
+	ErrStray = errors.New("response belongs to another request")
 )
 
-// NotSentError says that no byte of a request reached its target.
+// NotSentError means that no byte of a request was sent to its target.
 type NotSentError struct {
 	Err error
 }
 
-// Error describes the failure.
+// Error describes why the request was not sent.
 func (e *NotSentError) Error() string { return "not sent: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that kept the request from being sent.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
 // Request is one request to a target.
@@ -55,41 +59,41 @@
 	Path    string // Path is the raw request target.
 	Header  map[string][]string
 	Body    []byte
-	Echo    string // Echo is the value that the target repeats in its response; empty for calls whose response repeats none.
-	Fresh   bool   // Fresh asks for a connection that was not used before.
-	Idle    int    // Idle bounds the idle connections to the target that are kept after the response; 0 means that only the link's own bound holds.
+	Echo    string // Echo is the request id that the target repeats in its response, or empty if it repeats none.
+	Fresh   bool   // Fresh asks for a new connection.
+	Idle    int    // Idle bounds the idle connections kept to the target, below the bound of the link; 0 sets none.
 }
 
 // Settings configures a link.
 type Settings struct {
-	EchoHeader string // EchoHeader names the header by which a response is told from one to another request.
+	EchoHeader string // EchoHeader names the response header that repeats the id of the request.
 }
 
-// Link keeps connections to targets.
+// Link sends requests to targets and keeps a pool of idle connections.
 type Link struct {
-	settings Settings
-	dialer   net.Dialer
-	opened   *metrics.Counter
-	strays   *metrics.Counter
-	stale    *metrics.Counter
+	settings       Settings
+	dialer         net.Dialer
+	openedConns    *metrics.Counter
+	strayResponses *metrics.Counter
+	staleConns     *metrics.Counter
 
-	mu   sync.Mutex
-	idle map[string][]*conn
+	mu        sync.Mutex
+	idleConns map[string][]*conn // from address to connections, the last returned one at the end
 }
 
 // New returns a link without connections.
 func New(s Settings, set *metrics.Set) *Link {
 	return &Link{
-		settings: s,
-		dialer:   Dialer(dialTimeout),
-		opened:   set.GetOrCreateCounter("bramleywharf_target_connections_total"),
-		strays:   set.GetOrCreateCounter("bramleywharf_stray_responses_total"),
-		stale:    set.GetOrCreateCounter("bramleywharf_stale_connections_total"),
-		idle:     make(map[string][]*conn),
+		settings:       s,
+		dialer:         Dialer(dialTimeout),
+		openedConns:    set.GetOrCreateCounter("bramleywharf_target_connections_total"),
+		strayResponses: set.GetOrCreateCounter("bramleywharf_stray_responses_total"),
+		staleConns:     set.GetOrCreateCounter("bramleywharf_stale_connections_total"),
+		idleConns:      make(map[string][]*conn),
 	}
 }
 
-// Dialer returns a dialer whose connections notice a peer that is gone without a word.
+// Dialer returns a dialer whose connections fail soon after the peer has become unreachable.
 func Dialer(timeout time.Duration) net.Dialer {
 	return net.Dialer{
 		Timeout:         timeout,
@@ -98,12 +102,13 @@
 	}
 }
 
-// KeepAlive returns the probes that show a connection that went silent.
+// KeepAlive returns the TCP keep-alive settings that detect a connection whose peer has become unreachable.
 func KeepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// CheckUserTimeout returns an error where the kernel does not bound how long sent bytes may stay unacknowledged; the probes remain then.
+// CheckUserTimeout returns an error if the kernel does not accept TCP_USER_TIMEOUT; connections then rely on the
+// keep-alive probes alone.
 func CheckUserTimeout() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -113,14 +118,14 @@
 	return setUserTimeout(fd)
 }
 
-// BoundUnacknowledged bounds how long sent bytes may stay unacknowledged on a socket that is being made; a connection serves without it as well, and CheckUserTimeout tells once where it fails.
+// BoundUnacknowledged sets TCP_USER_TIMEOUT on a new socket. It ignores a failure, since the connection works without
+// the option; CheckUserTimeout reports one at the start.
 func BoundUnacknowledged(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) { _ = setUserTimeout(int(fd)) })
 }
 
-// setUserTimeout sets the bound on a socket.
 func setUserTimeout(fd int) error {
-	if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds())); err != nil {
+	if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds())); err != nil {
 		return fmt.Errorf("set TCP_USER_TIMEOUT: %w", err)
 	}
 	return nil
@@ -130,54 +135,55 @@
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for address, list := range l.idle {
-		for _, c := range list {
+	for address, conns := range l.idleConns {
+		for _, c := range conns {
 			_ = c.Close()
 		}
-		delete(l.idle, address)
+		delete(l.idleConns, address)
 	}
 }
 
 // Drop closes the idle connections to an address.
 func (l *Link) Drop(address string) {
 	l.mu.Lock()
-	list := l.idle[address]
-	delete(l.idle, address)
+	conns := l.idleConns[address]
+	delete(l.idleConns, address)
 	l.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
-// Probe tells whether a target still takes connections; the one it opens is kept for the next request.
+// Probe returns an error if a target accepts no connection. The connection is kept for the next request.
 func (l *Link) Probe(ctx context.Context, address string) error {
 	c, err := l.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	l.put(address, c, nil, maxIdle)
+	l.putIdle(address, c, nil, maxIdleConns)
 	return nil
 }
 
-// Send sends a request and returns the head of its response; the context ends both at any time.
+// Send sends a request and returns its response once the head has been read. The context may cancel it at any time,
+// also while the body is read.
 //
-// A NotSentError says that the target never had the request. After any other
-// error it may have run.
+// A NotSentError means that the target never received the request. After any
+// other error the request may have run.
 func (l *Link) Send(ctx context.Context, r Request) (*Reply, error) {
-	c, err := l.take(ctx, r)
+	c, err := l.getConn(ctx, r)
 	if err != nil {
 		return nil, &NotSentError{Err: err}
 	}
-	reply := &Reply{link: l, address: r.Address, idle: r.Idle, conn: c, written: make(chan error, 1)}
-	reply.unhook = context.AfterFunc(ctx, func() { _ = c.Close() })
-	if err := l.exchange(ctx, r, reply); err != nil {
+	reply := &Reply{link: l, address: r.Address, maxIdle: r.Idle, conn: c, writeResult: make(chan error, 1)}
+	reply.detachContext = context.AfterFunc(ctx, func() { _ = c.Close() })
+	if err := l.roundTrip(ctx, r, reply); err != nil {
 		reply.Close()
 		return nil, err
 	}
 	return reply, nil
 }
 
-// Exchange sends a request and returns its response with the whole body.
+// Exchange sends a request and returns its response and the whole body. Its errors are those of Send and ErrBroken.
 func (l *Link) Exchange(ctx context.Context, r Request) (*Reply, []byte, error) {
 	reply, err := l.Send(ctx, r)
 	if err != nil {
@@ -190,49 +196,49 @@
 	return reply, body, nil
 }
 
-// dial opens a connection.
 func (l *Link) dial(ctx context.Context, address string) (*conn, error) {
-	l.opened.Inc()
+	l.openedConns.Inc()
 	raw, err := l.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("connect to target %s: %w", address, err)
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readSize)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// exchange writes a request and reads the head of its own response.
-func (l *Link) exchange(ctx context.Context, r Request, reply *Reply) error {
-	head, rest, err := encode(r)
+// roundTrip writes a request and reads the head of its response. It skips responses to other requests,
+// and writes a large body while it reads.
+func (l *Link) roundTrip(ctx context.Context, r Request, reply *Reply) error {
+	head, rest, err := encodeRequest(r)
 	if err != nil {
 		return &NotSentError{Err: err}
 	}
 	c := reply.conn
-	c.written = 0
+	c.bytesWritten = 0
 	if len(rest) == 0 {
-		err := write(c, head, rest)
-		reply.written <- err
-		if err != nil && c.written == 0 {
+		err := writeRequest(c, head, rest)
+		reply.writeResult <- err
+		if err != nil && c.bytesWritten == 0 {
 			return &NotSentError{Err: fmt.Errorf("send to target %s: %w", r.Address, err)}
 		}
 	} else {
-		go func() { reply.written <- write(c, head, rest) }()
+		go func() { reply.writeResult <- writeRequest(c, head, rest) }()
 	}
-	var asked *http.Request // asked is needed for responses that never have a body; nil stands for GET.
+	var req *http.Request // The response to HEAD has no body; nil stands for GET.
 	if r.Method == http.MethodHead {
-		asked = &http.Request{Method: r.Method}
+		req = &http.Request{Method: r.Method}
 	}
-	for range maxStrays {
-		response, err := http.ReadResponse(c.reader, asked)
+	for range maxStrayResponses {
+		response, err := http.ReadResponse(c.reader, req)
 		if err != nil {
-			return fmt.Errorf("read response of target %s: %w", r.Address, orContext(ctx, err))
+			return fmt.Errorf("read response of target %s: %w", r.Address, contextErrOr(ctx, err))
 		}
 		if response.StatusCode == http.StatusContinue {
 			continue
 		}
-		if echo := response.Header.Get(l.settings.EchoHeader); echo != r.Echo && (echo != "" || c.used) {
-			l.strays.Inc()
+		if echo := response.Header.Get(l.settings.EchoHeader); echo != r.Echo && (echo != "" || c.wasPooled) {
+			l.strayResponses.Inc()
 			if _, err := io.Copy(io.Discard, response.Body); err != nil {
-				return fmt.Errorf("skip stray response of target %s: %w", r.Address, orContext(ctx, err))
+				return fmt.Errorf("skip stray response of target %s: %w", r.Address, contextErrOr(ctx, err))
 			}
 			continue
 		}
@@ -242,70 +248,69 @@
 	return fmt.Errorf("target %s: %w", r.Address, ErrStray)
 }
 
-// put keeps a connection for the next request, and no more than bound to its target.
-func (l *Link) put(address string, c *conn, h http.Header, bound int) {
-	c.used = true
-	c.idle = time.Now()
-	c.expires = expiry(c.idle, h, idleMargin, idleFallback)
-	if !c.expires.After(c.idle) || c.SetDeadline(time.Time{}) != nil {
+// putIdle keeps an idle connection for the next request, and closes the oldest ones to its target over maxIdle.
+func (l *Link) putIdle(address string, c *conn, h http.Header, maxIdle int) {
+	c.wasPooled = true
+	c.idleSince = time.Now()
+	c.expiresAt = idleDeadline(c.idleSince, h, idleTimeoutMargin, defaultIdleTimeout)
+	if !c.expiresAt.After(c.idleSince) || c.SetDeadline(time.Time{}) != nil {
 		_ = c.Close()
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := append(l.idle[address], c)
-	if bound <= 0 || bound > maxIdle {
-		bound = maxIdle
+	conns := append(l.idleConns[address], c)
+	if maxIdle <= 0 || maxIdle > maxIdleConns {
+		maxIdle = maxIdleConns
 	}
-	for len(list) > bound {
-		_ = list[0].Close()
-		list = list[1:]
+	for len(conns) > maxIdle {
+		_ = conns[0].Close()
+		conns = conns[1:]
 	}
-	l.idle[address] = list
+	l.idleConns[address] = conns
 }
 
-// take returns a kept connection that is still quiet, the youngest first, or a new one.
-func (l *Link) take(ctx context.Context, r Request) (*conn, error) {
+// getConn returns the most recently used idle connection that can be reused, or a new connection.
+func (l *Link) getConn(ctx context.Context, r Request) (*conn, error) {
 	for !r.Fresh {
-		c := l.pop(r.Address)
+		c := l.popIdle(r.Address)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.expires) && c.quiet() {
+		if time.Now().Before(c.expiresAt) && c.isReusable() {
 			return c, nil
 		}
-		l.stale.Inc()
+		l.staleConns.Inc()
 		_ = c.Close()
 	}
 	return l.dial(ctx, r.Address)
 }
 
-// pop takes the youngest idle connection to an address, or nil.
-func (l *Link) pop(address string) *conn {
+// popIdle removes and returns the most recently used idle connection to an address, or returns nil.
+func (l *Link) popIdle(address string) *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := l.idle[address]
-	if len(list) == 0 {
+	conns := l.idleConns[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	l.idle[address] = list[:len(list)-1]
-	if len(list) == 1 {
-		delete(l.idle, address)
+	c := conns[len(conns)-1]
+	l.idleConns[address] = conns[:len(conns)-1]
+	if len(conns) == 1 {
+		delete(l.idleConns, address)
 	}
 	return c
 }
 
-// orContext returns the context's error where it ended the connection, or else the error itself.
-func orContext(ctx context.Context, err error) error {
+// contextErrOr returns the error of the context if it has ended, otherwise err.
+func contextErrOr(ctx context.Context, err error) error {
 	if cause := ctx.Err(); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// write sends a whole request.
-func write(c *conn, head, rest []byte) error {
+func writeRequest(c *conn, head, rest []byte) error {
 	if _, err := c.Write(head); err != nil || len(rest) == 0 {
 		return err
 	}
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -16,163 +16,164 @@
 	"github.com/pkg/errors"
 )
 
-// echo is the header by which responses name their request.
-const echo = "X-Echo"
+// echoHeader is the response header that repeats the id of the request.
+const echoHeader = "X-Echo"
 
-// target serves raw responses; write is given the number of the connection and of the request on it.
-type target struct {
-	address string
-	opened  atomic.Int64
+// testTarget is a server that counts the connections opened to it.
+type testTarget struct {
+	address     string
+	openedConns atomic.Int64
 }
 
-// newTarget starts a target that reads each request and then writes its response.
-func newTarget(t *testing.T, write func(c net.Conn, request *http.Request, conn, turn int) bool) *target {
+// newTarget starts a target that reads each request and calls write, which writes the raw response and returns whether
+// the connection stays open. Connections, and the requests on each, are numbered from 1.
+func newTarget(t *testing.T, write func(c net.Conn, r *http.Request, connNumber, requestNumber int) bool) *testTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	served := &target{address: listener.Addr().String()}
+	target := &testTarget{address: listener.Addr().String()}
 	go func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			number := int(served.opened.Add(1))
+			connNumber := int(target.openedConns.Add(1))
 			go func() {
 				defer func() { _ = c.Close() }()
 				reader := bufio.NewReader(c)
-				for turn := 1; ; turn++ {
+				for requestNumber := 1; ; requestNumber++ {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					if _, err := io.Copy(io.Discard, request.Body); err != nil || !write(c, request, number, turn) {
+					if _, err := io.Copy(io.Discard, request.Body); err != nil || !write(c, request, connNumber, requestNumber) {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	return served
+	return target
 }
 
-// respond writes a whole response to a request of an id.
-func respond(c net.Conn, id, more, body string) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Echo: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(body), body)
+// respond writes a whole response to the request with an id, and returns whether that succeeded.
+func respond(c net.Conn, id, extraHeaders, body string) bool {
+	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Echo: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, extraHeaders, len(body), body)
 	return err == nil
 }
 
-// ask sends a request and returns the whole body.
-func ask(l *Link, r Request) (string, error) {
+// exchange sends a request and returns the body of its response.
+func exchange(l *Link, r Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	_, body, err := l.Exchange(ctx, r)
 	return string(body), err
 }
 
-// newLink returns a link that is closed at the end of a test.
+// newLink returns a link that is closed at the end of the test.
 func newLink(t *testing.T) *Link {
-	l := New(Settings{EchoHeader: echo}, metrics.NewSet())
+	l := New(Settings{EchoHeader: echoHeader}, metrics.NewSet())
 	t.Cleanup(l.Close)
 	return l
 }
 
-// request returns the request of an id.
-func request(address, id string) Request {
+// newRequest returns a request with an id.
+func newRequest(address, id string) Request {
 	return Request{Address: address, Host: "x", Method: http.MethodPost, Path: "/p", Body: []byte("question"), Echo: id}
 }
 
 func TestSend(t *testing.T) {
 	cases := map[string]struct {
-		write  func(c net.Conn, r *http.Request, conn, turn int) bool
-		sends  int
-		body   string // body is what the last send returns.
-		err    error  // err is how the last send fails, or nil.
-		opened int64  // opened counts the connections that the target saw.
+		write       func(c net.Conn, r *http.Request, connNumber, requestNumber int) bool
+		sendCount   int
+		body        string // body of the last response
+		err         error  // error of the last send, or nil
+		openedConns int64  // connections opened to the target
 	}{
-		"connection-is-used-again": {
-			write: func(c net.Conn, r *http.Request, _, turn int) bool {
-				return respond(c, r.Header.Get("X-Request"), "", fmt.Sprint(turn))
+		"connection-is-reused": {
+			write: func(c net.Conn, r *http.Request, _, requestNumber int) bool {
+				return respond(c, r.Header.Get("X-Request"), "", fmt.Sprint(requestNumber))
 			},
-			sends: 3, body: "3", opened: 1,
+			sendCount: 3, body: "3", openedConns: 1,
 		},
-		"close-is-kept-to": {
-			write: func(c net.Conn, r *http.Request, conn, _ int) bool {
-				respond(c, r.Header.Get("X-Request"), "Connection: close\r\n", fmt.Sprint(conn))
+		"connection-close-is-honoured": {
+			write: func(c net.Conn, r *http.Request, connNumber, _ int) bool {
+				respond(c, r.Header.Get("X-Request"), "Connection: close\r\n", fmt.Sprint(connNumber))
 				return false
 			},
-			sends: 3, body: "3", opened: 3,
+			sendCount: 3, body: "3", openedConns: 3,
 		},
 		"stray-response-is-skipped": {
-			write: func(c net.Conn, r *http.Request, _, turn int) bool {
-				if turn == 2 {
+			write: func(c net.Conn, r *http.Request, _, requestNumber int) bool {
+				if requestNumber == 2 {
 					respond(c, "another", "", "stray")
 				}
 				return respond(c, r.Header.Get("X-Request"), "", "own")
 			},
-			sends: 2, body: "own", opened: 1,
+			sendCount: 2, body: "own", openedConns: 1,
 		},
-		"foreign-responses-only": {
+		"stray-responses-only": {
 			write: func(c net.Conn, _ *http.Request, _, _ int) bool {
-				for range maxStrays {
+				for range maxStrayResponses {
 					respond(c, "another", "", "stray")
 				}
 				return true
 			},
-			sends: 1, err: ErrStray, opened: 1,
+			sendCount: 1, err: ErrStray, openedConns: 1,
 		},
-		"body-is-cut": {
+		"body-is-truncated": {
 			write: func(c net.Conn, r *http.Request, _, _ int) bool {
 				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Echo: %s\r\nContent-Length: 100\r\n\r\npart", r.Header.Get("X-Request"))
 				return false
 			},
-			sends: 1, err: ErrBroken, opened: 1,
+			sendCount: 1, err: ErrBroken, openedConns: 1,
 		},
-		"chunks-are-cut": {
+		"chunked-body-is-truncated": {
 			write: func(c net.Conn, r *http.Request, _, _ int) bool {
 				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Echo: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n", r.Header.Get("X-Request"))
 				return false
 			},
-			sends: 1, err: ErrBroken, opened: 1,
+			sendCount: 1, err: ErrBroken, openedConns: 1,
 		},
-		"too-much-follows": {
-			write: func(c net.Conn, r *http.Request, conn, _ int) bool {
-				return respond(c, r.Header.Get("X-Request"), "", fmt.Sprint(conn)) && respond(c, "late", "", "late")
+		"connection-with-late-response-is-not-reused": {
+			write: func(c net.Conn, r *http.Request, connNumber, _ int) bool {
+				return respond(c, r.Header.Get("X-Request"), "", fmt.Sprint(connNumber)) && respond(c, "late", "", "late")
 			},
-			sends: 2, body: "2", opened: 2,
+			sendCount: 2, body: "2", openedConns: 2,
 		},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			served := newTarget(t, test.write)
+			target := newTarget(t, test.write)
 			l := newLink(t)
 			var body string
 			var err error
-			for n := range test.sends {
-				id := fmt.Sprint("id-", n)
-				r := request(served.address, id)
+			for i := range test.sendCount {
+				id := fmt.Sprint("id-", i)
+				r := newRequest(target.address, id)
 				r.Header = map[string][]string{"X-Request": {id}}
-				body, err = ask(l, r)
-				time.Sleep(20 * time.Millisecond) // What follows a response must have arrived before the next send.
+				body, err = exchange(l, r)
+				time.Sleep(20 * time.Millisecond) // Bytes after the response must arrive before the next send.
 			}
 			c.Assert(errors.Is(err, test.err), quicktest.IsTrue, quicktest.Commentf("%v", err))
 			if test.err == nil {
 				c.Assert(body, quicktest.Equals, test.body)
 			}
-			c.Assert(served.opened.Load(), quicktest.Equals, test.opened)
+			c.Assert(target.openedConns.Load(), quicktest.Equals, test.openedConns)
 		})
 	}
 }
 
 func TestNotSent(t *testing.T) {
 	cases := map[string]struct {
-		address func(t *testing.T) string
-		sent    bool // sent tells that the target may have run the request.
+		address    func(t *testing.T) string
+		mayHaveRun bool // whether the target may have run the request
 	}{
-		"nobody-listens": {address: func(t *testing.T) string {
+		"connection-refused": {address: func(t *testing.T) string {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -180,30 +181,30 @@
 			defer func() { _ = listener.Close() }()
 			return listener.Addr().String()
 		}},
-		"closed-without-response": {sent: true, address: func(t *testing.T) string {
+		"closed-without-response": {mayHaveRun: true, address: func(t *testing.T) string {
 			return newTarget(t, func(net.Conn, *http.Request, int, int) bool { return false }).address
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			_, err := ask(newLink(t), request(test.address(t), "id"))
-			var unsent *NotSentError
+			_, err := exchange(newLink(t), newRequest(test.address(t), "id"))
+			var notSentErr *NotSentError
 			c.Assert(err, quicktest.IsNotNil)
-			c.Assert(errors.As(err, &unsent), quicktest.Equals, !test.sent)
+			c.Assert(errors.As(err, &notSentErr), quicktest.Equals, !test.mayHaveRun)
 		})
 	}
 }
 
 func TestIdle(t *testing.T) {
 	cases := map[string]struct {
-		bound  int   // bound is that of the requests.
-		opened int64 // opened counts the connections after two bursts.
+		maxIdle     int   // bound in the requests
+		openedConns int64 // connections opened by two bursts of requests
 	}{
-		"no-bound-given": {bound: 0, opened: 12 + 4},
-		"bound":          {bound: 2, opened: 12 + 10},
-		"one":            {bound: 1, opened: 12 + 11},
-		"over-the-limit": {bound: 100, opened: 12 + 4},
+		"no-bound-in-request":         {maxIdle: 0, openedConns: 12 + 4},
+		"bound-of-two":                {maxIdle: 2, openedConns: 12 + 10},
+		"bound-of-one":                {maxIdle: 1, openedConns: 12 + 11},
+		"bound-over-that-of-the-link": {maxIdle: 100, openedConns: 12 + 4},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -211,7 +212,7 @@
 			const burst = 12
 			arrived := make(chan struct{}, burst)
 			release := make(chan struct{})
-			served := newTarget(t, func(c net.Conn, r *http.Request, _, _ int) bool {
+			target := newTarget(t, func(c net.Conn, r *http.Request, _, _ int) bool {
 				arrived <- struct{}{}
 				<-release
 				return respond(c, r.Header.Get("X-Request"), "", "")
@@ -221,10 +222,10 @@
 				ended := make(chan error, burst)
 				for range burst {
 					go func() {
-						r := request(served.address, "id")
+						r := newRequest(target.address, "id")
 						r.Header = map[string][]string{"X-Request": {"id"}}
-						r.Idle = test.bound
-						_, err := ask(l, r)
+						r.Idle = test.maxIdle
+						_, err := exchange(l, r)
 						ended <- err
 					}()
 				}
@@ -238,7 +239,7 @@
 					c.Assert(<-ended, quicktest.IsNil)
 				}
 			}
-			c.Assert(served.opened.Load(), quicktest.Equals, test.opened)
+			c.Assert(target.openedConns.Load(), quicktest.Equals, test.openedConns)
 		})
 	}
 }
--- a/entry/link/reply.go
+++ b/entry/link/reply.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Reply is a response whose body is still on its way.
+// Reply is a response whose head has been read.
 type Reply struct {
-	link     *Link
-	address  string
-	idle     int // idle bounds the idle connections to the target, or is 0.
-	conn     *conn
-	response *http.Response
-	written  chan error
-	unhook   func() bool
-	closed   bool
+	link          *Link
+	address       string
+	maxIdle       int // bound on the idle connections to the target, or 0
+	conn          *conn
+	response      *http.Response
+	writeResult   chan error  // gets the result of writing the request
+	detachContext func() bool // keeps the context from closing the connection; false if it has done so
+	closed        bool
 }
 
-// Close closes the connection, unless the whole response was read.
+// Close closes the connection unless the whole body was read.
 func (r *Reply) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	r.unhook()
+	r.detachContext()
 	_ = r.conn.Close()
 }
 
@@ -34,66 +34,68 @@
 	return r.response.Header
 }
 
-// Read reads the body; io.EOF says that it is whole.
+// Read reads from the body. It returns io.EOF only after a complete body.
 func (r *Reply) Read(b []byte) (int, error) {
 	n, err := r.response.Body.Read(b)
 	if err == io.EOF {
-		r.finish()
+		r.releaseConn()
 	}
 	return n, err
 }
 
-// SetReadDeadline bounds the next reads.
+// SetReadDeadline sets the deadline for reads of the body.
 func (r *Reply) SetReadDeadline(t time.Time) error {
 	return r.conn.SetReadDeadline(t)
 }
 
-// Status returns the status of the response.
+// Status returns the status code of the response.
 func (r *Reply) Status() int {
 	return r.response.StatusCode
 }
 
-// Whole reads the rest of the response and returns its body, or an error when it is cut short.
+// Whole reads the body and closes the reply. It returns ErrBroken if the body is incomplete, malformed or over
+// maxBodySize.
 func (r *Reply) Whole() ([]byte, error) {
 	defer r.Close()
-	body, err := r.rest()
+	body, err := r.readBody()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 	}
-	if len(body) > maxWhole {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrBroken, maxWhole)
+	if len(body) > maxBodySize {
+		return nil, fmt.Errorf("%w: over %d bytes", ErrBroken, maxBodySize)
 	}
-	r.finish()
+	r.releaseConn()
 	return body, nil
 }
 
-// rest reads what is left of the body, at once where its length is known and within the bound.
-func (r *Reply) rest() ([]byte, error) {
+// readBody reads the body into one buffer if its length is known and within maxBodySize. Otherwise it reads no more
+// than one byte over that bound.
+func (r *Reply) readBody() ([]byte, error) {
 	length := r.response.ContentLength
-	if length < 0 || length > maxWhole {
-		return io.ReadAll(io.LimitReader(r.response.Body, maxWhole+1))
+	if length < 0 || length > maxBodySize {
+		return io.ReadAll(io.LimitReader(r.response.Body, maxBodySize+1))
 	}
 	body := make([]byte, length)
 	_, err := io.ReadFull(r.response.Body, body)
 	return body, err
 }
 
-// finish keeps the connection if nothing is left on it, or closes it.
-func (r *Reply) finish() {
+// releaseConn keeps the connection for the next request, or closes it if it cannot be reused.
+func (r *Reply) releaseConn() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	live := r.unhook()
+	reusable := r.detachContext()
 	select {
-	case err := <-r.written:
-		live = live && err == nil
+	case err := <-r.writeResult:
+		reusable = reusable && err == nil
 	default:
-		live = false
+		reusable = false
 	}
-	if !live || r.response.Close || r.conn.reader.Buffered() > 0 {
+	if !reusable || r.response.Close || r.conn.reader.Buffered() > 0 {
 		_ = r.conn.Close()
 		return
 	}
-	r.link.put(r.address, r.conn, r.response.Header, r.idle)
+	r.link.putIdle(r.address, r.conn, r.response.Header, r.maxIdle)
 }
