--- a/entry/pass/doc.go
+++ b/entry/pass/doc.go
@@ -1,7 +1,7 @@
-// Package pass forwards requests to targets and answers with what they return.
+// Package pass forwards requests to targets and returns their responses.
 //
-// What may be sent again follows from the route. Idempotent requests go to
-// another target after a failure, within the route's attempts and the fleet's
-// bound on repeats. A request that runs at most once is sent once. Streams have
-// a package of their own.
+// The route decides whether a request may be sent again. An idempotent request
+// goes to another target after a failure, within the route's attempts and the
+// fleet's retry bound. A request that runs at most once goes to another target
+// only if none has run it. Streams are run by package flight.
 package pass
--- a/entry/pass/errand.go
+++ b/entry/pass/errand.go
@@ -15,227 +15,233 @@
 )
 
 const (
-	retryAfter     = 150 * time.Millisecond // retryAfter is when callers of whole answers should come back; most losses are over or known by then.
-	maxUnsent      = 4                      // maxUnsent bounds the targets that one request could not be sent to.
-	patienceMin    = 150 * time.Millisecond // patienceMin is the shortest wait for an idempotent answer before another target is asked; the slowest sound answers take about 110 ms.
-	patienceFactor = 8                      // patienceFactor is how many mean latencies an answer may take.
+	// retryAfter is the retry delay sent with a refusal; by then most lost targets are back or known to be lost.
+	retryAfter = 150 * time.Millisecond
+	// maxUnsent bounds the attempts of one request that did not reach the intended target.
+	maxUnsent = 4
+	// minAttemptTimeout is the shortest wait for the answer to an idempotent request before another target is tried;
+	// the slowest answers of healthy targets take about 110 ms.
+	minAttemptTimeout    = 150 * time.Millisecond
+	attemptTimeoutFactor = 8 // attemptTimeoutFactor is the wait for an answer in multiples of the target's mean latency.
 )
 
-// errand is a request that is answered as a whole.
-type errand struct {
-	sender     *send.Sender
-	call       chain.Call
-	request    chain.Forward
-	idempotent bool
-	service    string
-	avoid      map[string]bool
-	sends      int // sends counts the targets that may have had the request.
-	unsent     int // unsent counts the targets that it could not be sent to.
-	ran        bool
-	failure    *chain.Passed // failure is a target's own failure, passed on when nothing better comes.
-}
-
-// outcome is the sealed set of what came of one send: answered, notRun, notSent and lost.
+// unaryCall is a request with a single response, as opposed to a stream.
+type unaryCall struct {
+	sender         *send.Sender
+	call           chain.Call
+	request        chain.Forward
+	idempotent     bool
+	service        string
+	avoidedTargets map[string]bool // names of the targets that were tried
+	sendCount      int             // attempts whose target may have received the request
+	unsentCount    int             // attempts that did not reach the intended target
+	mayHaveRun     bool            // whether a target may have run the request without a valid answer
+	failedResponse *chain.Passed   // a target's error response, passed on if no other attempt succeeds
+}
+
+// outcome is the sealed set of results of one attempt: answered, notRun, notSent and unconfirmed.
 type outcome interface {
 	isOutcome()
 }
 
-// answered is a whole response of the target that ran the request.
+// answered means that a target ran the request and returned a whole response.
 type answered struct {
-	passed chain.Passed
+	response chain.Passed
 }
 
-// notRun is a target's promise that the request has not run.
+// notRun means that a target refused the request without running it.
 type notRun struct {
 	status      int
-	misdirected bool // misdirected tells that the target it was meant for has ended.
+	misdirected bool // another target has the address and refused; the intended one has ended
 }
 
-// notSent says that the target never had the request.
+// notSent means that the target never received the request.
 type notSent struct {
 	err error
 }
 
-// lost says that the request may have run.
-type lost struct {
+// unconfirmed means that the target may have run the request but returned no valid response.
+type unconfirmed struct {
 	err error
 }
 
-func (answered) isOutcome() {}
-func (notRun) isOutcome()   {}
-func (notSent) isOutcome()  {}
-func (lost) isOutcome()     {}
+func (answered) isOutcome()    {}
+func (notRun) isOutcome()      {}
+func (notSent) isOutcome()     {}
+func (unconfirmed) isOutcome() {}
 
-// newErrand returns a request that has not been sent.
-func newErrand(s *send.Sender, c chain.Call, f chain.Forward, idempotent bool) *errand {
-	return &errand{
-		sender:     s,
-		call:       c,
-		request:    f,
-		idempotent: idempotent,
-		service:    c.Route.Pick(rand.Float64()),
-		avoid:      make(map[string]bool),
+// newUnaryCall returns a call whose request has not been sent.
+func newUnaryCall(s *send.Sender, c chain.Call, f chain.Forward, idempotent bool) *unaryCall {
+	return &unaryCall{
+		sender:         s,
+		call:           c,
+		request:        f,
+		idempotent:     idempotent,
+		service:        c.Route.Pick(rand.Float64()),
+		avoidedTargets: make(map[string]bool),
 	}
 }
 
-// run sends the request until it has an answer or may not be sent again.
-func (e *errand) run(ctx context.Context) chain.Answer {
-	e.sender.Request(e.service)
+// run sends the request to one target after another until it has an answer or may not be sent again.
+func (u *unaryCall) run(ctx context.Context) chain.Answer {
+	u.sender.Request(u.service)
 	for {
-		pick, ok := e.sender.Picker.Plain(picker.Want{Service: e.service, Avoid: e.avoid})
+		pick, ok := u.sender.Picker.Plain(picker.Want{Service: u.service, Avoid: u.avoidedTargets})
 		if !ok {
-			return e.conclude("no target of the service is left")
+			return u.finalAnswer("no target of the service is left")
 		}
-		result := e.send(ctx, pick)
+		result := u.send(ctx, pick)
 		pick.Release()
-		e.avoid[pick.Target.Name] = true
+		u.avoidedTargets[pick.Target.Name] = true
 		if !errors.Is(ctx.Err(), context.Canceled) {
-			e.note(pick, result)
+			u.recordFailure(pick, result)
 		}
-		if answer, done := e.judge(ctx, result); done {
+		if answer, done := u.handleOutcome(ctx, result); done {
 			return answer
 		}
 	}
 }
 
-// judge decides what follows from an outcome.
-func (e *errand) judge(ctx context.Context, result outcome) (chain.Answer, bool) {
+// handleOutcome records the result of an attempt. It returns the answer to the caller and true, or nil and false if
+// another attempt follows.
+func (u *unaryCall) handleOutcome(ctx context.Context, result outcome) (chain.Answer, bool) {
 	switch r := result.(type) {
 	case answered:
-		if !r.passed.Failed() || !e.idempotent {
-			return r.passed, true
+		if !r.response.Failed() || !u.idempotent {
+			return r.response, true
 		}
-		e.failure = &r.passed
-	case lost:
-		e.ran = true
+		u.failedResponse = &r.response
+	case unconfirmed:
+		u.mayHaveRun = true
 	}
 	if err := ctx.Err(); err != nil {
-		return e.expired(err), true
+		return u.expiredAnswer(err), true
 	}
-	return e.next(result)
+	return u.retryOrFinish(result)
 }
 
-// next tells whether the request may go to another target.
-func (e *errand) next(result outcome) (chain.Answer, bool) {
+// retryOrFinish returns nil and false if the request may go to another target, otherwise its final answer and true.
+func (u *unaryCall) retryOrFinish(result outcome) (chain.Answer, bool) {
 	if _, ok := result.(notSent); ok {
-		if e.unsent < maxUnsent {
+		if u.unsentCount < maxUnsent {
 			return nil, false
 		}
-		return e.conclude("targets cannot be reached"), true
+		return u.finalAnswer("targets cannot be reached"), true
 	}
-	if r, ok := result.(notRun); ok && r.misdirected && e.unsent < maxUnsent && e.sender.Repeat(e.service) {
+	if r, ok := result.(notRun); ok && r.misdirected && u.unsentCount < maxUnsent && u.sender.Repeat(u.service) {
 		return nil, false
 	}
 	switch {
-	case !e.idempotent && e.ran:
-		return e.conclude("its target failed"), true
-	case e.sends >= e.call.Route.Attempts:
-		return e.conclude("its attempts are used up"), true
-	case !e.sender.Repeat(e.service):
-		return e.conclude("the retry bound is reached"), true
+	case !u.idempotent && u.mayHaveRun:
+		return u.finalAnswer("its target failed"), true
+	case u.sendCount >= u.call.Route.Attempts:
+		return u.finalAnswer("its attempts are used up"), true
+	case !u.sender.Repeat(u.service):
+		return u.finalAnswer("the retry bound is reached"), true
 	}
 	return nil, false
 }
 
-// conclude answers when the request is not sent again.
-func (e *errand) conclude(reason string) chain.Answer {
+// finalAnswer returns the answer to a request that is not sent again.
+func (u *unaryCall) finalAnswer(reason string) chain.Answer {
 	switch {
-	case e.failure != nil:
-		return *e.failure
-	case e.ran:
+	case u.failedResponse != nil:
+		return *u.failedResponse
+	case u.mayHaveRun:
 		return send.Unknown(deny.KindOutcome, "%s; the request may have run", reason)
 	default:
 		return send.Unavailable(retryAfter, "%s", reason)
 	}
 }
 
-// expired answers when time is up.
-func (e *errand) expired(err error) chain.Answer {
+// expiredAnswer returns the answer when the context has ended with err, by its deadline or because the caller left.
+func (u *unaryCall) expiredAnswer(err error) chain.Answer {
 	switch {
 	case !errors.Is(err, context.DeadlineExceeded):
 		return chain.Left{}
-	case e.failure != nil:
-		return *e.failure
-	case e.ran:
+	case u.failedResponse != nil:
+		return *u.failedResponse
+	case u.mayHaveRun:
 		return send.Unknown(deny.KindTimeout, "no answer in time")
 	default:
 		return send.Unavailable(retryAfter, "no target took the request in time")
 	}
 }
 
-// note logs an outcome that is no answer and tells the picker of it.
-func (e *errand) note(pick *picker.Pick, result outcome) {
+// recordFailure logs an outcome other than answered, and tells the picker if the target failed. Targets that could not
+// be reached are reported by send.
+func (u *unaryCall) recordFailure(pick *picker.Pick, result outcome) {
 	if _, ok := result.(answered); ok {
 		return
 	}
-	fields := log.Fields{"request": e.call.ID, "target": pick.Target.Name, "service": e.service, "sends": e.sends}
+	fields := log.Fields{"request": u.call.ID, "target": pick.Target.Name, "service": u.service, "sends": u.sendCount}
 	switch r := result.(type) {
 	case notRun:
 		pick.Failed()
-		e.sender.Log.WithFields(fields).WithField("status", r.status).Info("target did not run the request")
+		u.sender.Log.WithFields(fields).WithField("status", r.status).Info("target did not run the request")
 	case notSent:
-		e.sender.Log.WithFields(fields).WithError(r.err).Info("target did not get the request")
-	case lost:
+		u.sender.Log.WithFields(fields).WithError(r.err).Info("target did not get the request")
+	case unconfirmed:
 		pick.Failed()
-		e.sender.Log.WithFields(fields).WithError(r.err).Info("request may have run")
+		u.sender.Log.WithFields(fields).WithError(r.err).Info("no valid response; the request may have run")
 	}
 }
 
 // send sends the request to one target.
-func (e *errand) send(ctx context.Context, pick *picker.Pick) outcome {
-	began := time.Now()
-	if patience := e.patience(pick); patience < send.Left(e.call, e.request) {
+func (u *unaryCall) send(ctx context.Context, pick *picker.Pick) outcome {
+	startedAt := time.Now()
+	if timeout := u.attemptTimeout(pick); timeout < send.Left(u.call, u.request) {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, patience)
+		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	message := e.sender.Outgoing(send.Send{Call: e.call, Target: pick.Target, Left: send.Left(e.call, e.request)}, e.request, !e.idempotent)
-	e.sender.Counts.Sends.Inc()
-	reply, body, err := e.sender.Link.Exchange(ctx, message)
-	var unsent *link.NotSentError
-	if errors.As(err, &unsent) {
-		e.sender.Counts.Unsent.Inc()
-		e.unsent++
+	message := u.sender.Outgoing(send.Send{Call: u.call, Target: pick.Target, Left: send.Left(u.call, u.request)}, u.request, !u.idempotent)
+	u.sender.Counts.Sends.Inc()
+	reply, body, err := u.sender.Link.Exchange(ctx, message)
+	var notSentErr *link.NotSentError
+	if errors.As(err, &notSentErr) {
+		u.sender.Counts.Unsent.Inc()
+		u.unsentCount++
 		if !errors.Is(ctx.Err(), context.Canceled) {
 			pick.Lost(err.Error())
 		}
 		return notSent{err: err}
 	}
-	e.sends++
+	u.sendCount++
 	if err != nil {
-		return lost{err: err}
+		return unconfirmed{err: err}
 	}
-	return e.verdict(ctx, pick, reply, body, time.Since(began))
+	return u.outcomeOf(ctx, pick, reply, body, time.Since(startedAt))
 }
 
-// patience returns how long one target is waited for: to the end if no other may be asked.
-func (e *errand) patience(pick *picker.Pick) time.Duration {
-	rest := send.Left(e.call, e.request)
-	if !e.idempotent || e.sends+1 >= e.call.Route.Attempts {
-		return rest
+// attemptTimeout returns how long to wait for one target: all the time left if no other may be tried after it.
+func (u *unaryCall) attemptTimeout(pick *picker.Pick) time.Duration {
+	timeLeft := send.Left(u.call, u.request)
+	if !u.idempotent || u.sendCount+1 >= u.call.Route.Attempts {
+		return timeLeft
 	}
-	return min(rest, max(patienceMin, patienceFactor*pick.Latency()))
+	return min(timeLeft, max(minAttemptTimeout, attemptTimeoutFactor*pick.Latency()))
 }
 
-// verdict returns what a whole response says.
-func (e *errand) verdict(ctx context.Context, pick *picker.Pick, reply *link.Reply, body []byte, took time.Duration) outcome {
+// outcomeOf returns the outcome that a whole response stands for, and tells the picker of a successful one.
+func (u *unaryCall) outcomeOf(ctx context.Context, pick *picker.Pick, reply *link.Reply, body []byte, took time.Duration) outcome {
 	status := reply.Status()
-	switch v := e.sender.Dialect.Judge(status, reply.Header()).(type) {
+	switch v := u.sender.Dialect.Judge(status, reply.Header()).(type) {
 	case send.NotRun:
 		if v.Misdirected {
-			// The target that it was sent to is not there, so this one does not count among those that had the request.
-			e.sends--
-			e.unsent++
-			e.sender.Misdirected(ctx, e.call, pick, v.Holder)
+			// The intended target has ended, so it does not count as one that may have received the request.
+			u.sendCount--
+			u.unsentCount++
+			u.sender.Misdirected(ctx, u.call, pick, v.Holder)
 		}
 		return notRun{status: status, misdirected: v.Misdirected}
 	case send.Signed:
 		if status < 500 {
 			pick.Succeeded(took)
 		}
-		head := chain.Head{Status: status, Header: e.sender.Dialect.Response(reply.Header())}
-		return answered{passed: chain.Passed{Head: head, Body: body, Sends: e.sends + e.unsent}}
+		head := chain.Head{Status: status, Header: u.sender.Dialect.Response(reply.Header())}
+		return answered{response: chain.Passed{Head: head, Body: body, Sends: u.sendCount + u.unsentCount}}
 	default:
-		return lost{err: errors.Errorf("response with status %d proves nothing", status)}
+		return unconfirmed{err: errors.Errorf("response with status %d has no signature", status)}
 	}
 }
--- a/entry/pass/pass.go
+++ b/entry/pass/pass.go
@@ -10,17 +10,17 @@
 	"bramleywharf.example/entry/send"
 )
 
-// Pass forwards calls to targets.
+// Pass handles forwarded calls by sending them to targets.
 type Pass struct {
 	sender *send.Sender
 }
 
-// New returns a handler that sends by a sender.
+// New returns a Pass that sends requests through a sender.
 func New(s *send.Sender) *Pass {
 	return &Pass{sender: s}
 }
 
-// Handle forwards a call.
+// Handle forwards a call as its route says: as a stream, or as a unary call that is idempotent or runs at most once.
 func (p *Pass) Handle(ctx context.Context, c chain.Call) chain.Answer {
 	f, ok := c.Request.(chain.Forward)
 	if !ok {
@@ -33,8 +33,8 @@
 	defer cancel()
 	switch c.Route.Repeat.(type) {
 	case site.Idempotent:
-		return newErrand(p.sender, c, f, true).run(ctx)
+		return newUnaryCall(p.sender, c, f, true).run(ctx)
 	default:
-		return newErrand(p.sender, c, f, false).run(ctx)
+		return newUnaryCall(p.sender, c, f, false).run(ctx)
 	}
 }
