--- a/entry/chain/answer.go
+++ b/entry/chain/answer.go
@@ -6,18 +6,19 @@
 	"bramleywharf.example/core/deny"
 )
 
-// Answer is the sealed set of answers: Streamed, Whole, Addresses, Passed, Finished, Severed, Refused and Left.
+// Answer is the sealed set of results of a call: Streamed, Whole, Addresses, Passed, Finished, Severed, Refused and
+// Left.
 type Answer interface {
 	isAnswer()
 }
 
-// Streamed says that all tokens went to the sink.
+// Streamed means that all tokens of a generation were written to the sink.
 type Streamed struct {
-	Reason string // Reason is the engine's reason for the end.
+	Reason string // Reason is the engine's finish reason.
 	Tokens int
 }
 
-// Whole is the answer of a plain service.
+// Whole is the complete response of a plain service, one that is not a model engine.
 type Whole struct {
 	Status      int
 	ContentType string
@@ -26,24 +27,24 @@
 
 // Addresses lists the instances that a caller should use, best first.
 type Addresses struct {
-	Organisation string // Organisation is the caller's.
+	Organisation string // Organisation is that of the caller.
 	List         []Address
-	Life         time.Duration // Life is how long the caller may keep the list.
+	Life         time.Duration // Life is how long the caller may use the list.
 }
 
-// Address is one instance.
+// Address is the address of one instance.
 type Address struct {
 	Instance string
-	Domain   string
+	Domain   string // Domain is the instance's failure domain.
 	Address  string
 }
 
-// Refused carries a refusal.
+// Refused means that the call was refused.
 type Refused struct {
 	Refusal deny.Refusal
 }
 
-// Left says that the caller went away or took the stream to another instance.
+// Left means that the caller disconnected or resumed the stream at another instance.
 type Left struct{}
 
 func (Streamed) isAnswer()  {}
@@ -52,7 +53,7 @@
 func (Refused) isAnswer()   {}
 func (Left) isAnswer()      {}
 
-// Refuse returns the answer that carries a refusal.
+// Refuse returns a refusal as an answer.
 func Refuse(r deny.Refusal) Answer {
 	return Refused{Refusal: r}
 }
--- a/entry/chain/doc.go
+++ b/entry/chain/doc.go
@@ -1,6 +1,6 @@
-// Package chain holds the requests that callers make, the answers they get and
-// the filters that stand between.
+// Package chain defines the requests that callers make, the answers that they
+// get, and the chain of filters that a call passes through.
 //
-// It knows neither HTTP nor an encoding: a front end turns its messages into
-// calls and answers back into messages.
+// It does not depend on HTTP or on an encoding: a front end decodes messages to
+// calls and encodes the answers.
 package chain
--- a/entry/chain/forward.go
+++ b/entry/chain/forward.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Forward asks for a request to be passed on to a target of its route, its body and path unchanged.
+// Forward asks for a request to be forwarded to a target of its route with its path and body unchanged.
 type Forward struct {
 	Host      string
 	Method    string
 	Path      string // Path is the raw request target, query included.
-	Header    Header // Header holds what may be passed on to a target.
+	Header    Header // Header holds the headers that may be forwarded to a target.
 	Body      []byte
 	Deadline  time.Time // Deadline is when the caller stops waiting.
-	Received  time.Time
-	LastEvent string // LastEvent is the id of the last event that the caller has, or empty.
-	Session   string // Session names the part of the prompt that belongs to the caller's session, or is empty.
-	Prompt    int    // Prompt is the length of the prompt in tokens, or 0.
+	Received  time.Time // Received is when the request arrived.
+	LastEvent string    // LastEvent is the id of the last event that the caller has, or empty.
+	Session   string    // Session is the id of the prompt's last part, that of the caller's session, or empty.
+	Prompt    int       // Prompt is the length of the prompt in tokens, or 0.
 	Outlet    Outlet
 }
 
-// Header holds the values of each header by its canonical name.
+// Header maps canonical header names to their values.
 type Header map[string][]string
 
-// Head begins a response.
+// Head is the status and the headers of a response.
 type Head struct {
 	Status int
 	Header Header
 }
 
-// Outlet takes the parts of a response as they arrive; an error means that the caller is gone.
+// Outlet sends a streamed response to the caller as it arrives; an error means that the caller has disconnected.
 type Outlet interface {
 	// Begin sends the head of a response whose events follow.
 	Begin(h Head) error
@@ -34,30 +34,30 @@
 	Event(raw []byte) error
 }
 
-// Passed is the whole response of a target.
+// Passed is the whole response of a target, which is passed on to the caller.
 type Passed struct {
 	Head  Head
 	Body  []byte
-	Sends int // Sends counts the targets that were tried, those that could not be reached included.
+	Sends int // Sends counts the targets that were tried, including those that could not be reached.
 }
 
-// failures is the first status by which a target says that it failed by itself.
-const failures = 500
+// minFailureStatus is the lowest status that counts as a failure of the target.
+const minFailureStatus = 500
 
-// Failed tells whether the target failed by itself.
+// Failed reports whether the target itself failed.
 func (p Passed) Failed() bool {
-	return p.Head.Status >= failures
+	return p.Head.Status >= minFailureStatus
 }
 
-// Finished says that all events of a response went to the outlet.
+// Finished means that all events of a response were sent to the outlet.
 type Finished struct {
-	Events  int
-	Resumed int           // Resumed counts the targets that the stream went on at.
+	Events  int           // Events is the number of events.
+	Resumed int           // Resumed counts how often the stream continued at another target.
 	First   time.Duration // First is the time until the first event.
-	Pause   time.Duration // Pause is the longest pause between two events.
+	Pause   time.Duration // Pause is the longest time between two events.
 }
 
-// Severed says that a response was begun and cannot be completed; its connection has to be cut.
+// Severed means that a response was begun and cannot be completed, so that the connection to the caller must be closed.
 type Severed struct {
 	Reason string
 }
