--- a/entry/flight/attempt.go
+++ b/entry/flight/attempt.go
@@ -117,8 +117,8 @@
 	return a.handleResponse(ctx)
 }
 
-// chooseHolder chooses the target that keeps a replica of the stream while runner runs it, but not the one that
-// refused names.
+// chooseHolder chooses the target that keeps a replica of the stream while runner runs it. The target named by refused
+// is left out.
 func (s *stream) chooseHolder(runner site.Target, refused string) (site.Target, bool) {
 	want := s.want()
 	want.Avoid = map[string]bool{runner.Name: true, refused: true}
--- a/entry/flight/copy.go
+++ b/entry/flight/copy.go
@@ -70,7 +70,7 @@
 	fields := log.Fields{"request": m.stream.call.ID, "target": runner.Name, "holder": holder.Name}
 	reply, body, err := m.sender.Link.Exchange(ctx, m.sender.Dialect.Copy(m.stream.call, runner, holder))
 	if err != nil {
-		m.sender.Log.WithFields(fields).WithError(err).Info("order of a replica failed")
+		m.sender.Log.WithFields(fields).WithError(err).Info("replica could not be ordered")
 		return
 	}
 	handle, ok := m.sender.Dialect.Copied(reply.Status(), body)
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -205,8 +205,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// roundTrip writes a request and reads the head of its response. It skips responses to other requests,
-// and writes a large body while it reads.
+// roundTrip writes a request and reads the head of its response. It skips responses to other requests, and writes a
+// large body while it reads.
 func (l *Link) roundTrip(ctx context.Context, r Request, reply *Reply) error {
 	head, rest, err := encodeRequest(r)
 	if err != nil {
