--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -11,117 +11,118 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of the suspicions that an engine may answer without sending a token.
+// Limits on probing an engine that answers probes but sends no token.
 const (
-	maxProbes    = 4  // maxProbes is for an attempt that has sent tokens.
-	maxUnstarted = 60 // maxUnstarted is for one that waits for its first, in the engine's queue for all one knows.
+	maxProbes           = 4  // maxProbes applies once a token of the attempt was delivered.
+	maxFirstTokenProbes = 60 // maxFirstTokenProbes applies before that, as the request may wait in the engine's queue.
 )
 
-// attempt is one run of the generation on an engine, as the owner sees it.
+// attempt is one execution of the generation on an engine, as seen by the goroutine that runs loop.
 type attempt struct {
-	number  int
-	target  route.Candidate
-	owner   string // owner is the run that started the attempt.
-	id      string
-	next    int       // next is the offset that the current reader should send.
-	heard   time.Time // heard is when the attempt last gave a sign of life.
-	started bool      // started tells whether the attempt has sent a token.
-	probes  int       // probes counts suspicions since the last token.
-	reader  int       // reader is the number of the current reader, whose events count.
-	stop    context.CancelFunc
-	release func()
+	number        int
+	target        route.Candidate
+	runID         string // runID is the run that started the attempt, possibly on another instance.
+	id            string
+	next          int       // next is the offset of the token expected next from the current reader.
+	lastActivity  time.Time // lastActivity is reset by tokens and by each new reader or probe.
+	hasDelivered  bool      // hasDelivered tells whether a token of this attempt was delivered to the caller.
+	probes        int       // probes counts probes and races since the last delivered token.
+	readerID      int       // readerID is the current reader; events of earlier readers are ignored.
+	stopReader    context.CancelFunc
+	releaseTarget func()
 }
 
-// event is the sealed set of what readers and probes tell the owner of a generation.
+// event is the sealed interface of what readers and probes send to a generation's loop.
 type event interface {
 	isEvent()
 }
 
-// streamed is one event of a reader's stream.
-type streamed struct {
-	reader int
-	event  engine.Event
+// streamEvent is one event from an engine's stream.
+type streamEvent struct {
+	readerID int
+	event    engine.Event
 }
 
-// failed is the end of a reader's stream by an error.
-type failed struct {
-	reader int
-	err    error
+// readerFailed reports that a reader's stream ended with an error.
+type readerFailed struct {
+	readerID int
+	err      error
 }
 
-// probed is the result of a probe.
-type probed struct {
+// probeResult carries the error of a probe, or nil.
+type probeResult struct {
 	attempt int
 	err     error
 }
 
-func (streamed) isEvent() {}
-func (failed) isEvent()   {}
-func (probed) isEvent()   {}
+func (streamEvent) isEvent()  {}
+func (readerFailed) isEvent() {}
+func (probeResult) isEvent()  {}
 
-// attemptID names an attempt at engines; the owner keeps apart what two runs start for the same request.
-func attemptID(request string, number int, owner string) string {
-	return request + "." + strconv.Itoa(number) + "." + owner
+// attemptID returns the id of an attempt at its engine. It includes the run's id because two runs of the same request
+// may use the same attempt number.
+func attemptID(requestID string, number int, runID string) string {
+	return requestID + "." + strconv.Itoa(number) + "." + runID
 }
 
-// newReader starts a closure that runs a stream and sends its events to the owner until the owner stops it.
-func (g *run) newReader(a *attempt, stream func(ctx context.Context, emit func(engine.Event)) error) {
-	if a.stop != nil {
-		a.stop()
+// startReader replaces the attempt's reader by a goroutine that runs stream and sends its events to the loop.
+func (g *generation) startReader(a *attempt, stream func(ctx context.Context, emit func(engine.Event)) error) {
+	if a.stopReader != nil {
+		a.stopReader()
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	g.readers++
-	reader := g.readers
-	a.reader = reader
-	a.stop = stop
-	a.heard = time.Now()
-	g.group.Go(func() {
-		err := stream(ctx, func(e engine.Event) { g.send(ctx, streamed{reader: reader, event: e}) })
+	ctx, stopReader := context.WithCancel(context.Background())
+	g.lastReaderID++
+	readerID := g.lastReaderID
+	a.readerID = readerID
+	a.stopReader = stopReader
+	a.lastActivity = time.Now()
+	g.workers.Go(func() {
+		err := stream(ctx, func(e engine.Event) { g.sendEvent(ctx, streamEvent{readerID: readerID, event: e}) })
 		if err != nil {
-			g.send(ctx, failed{reader: reader, err: err})
+			g.sendEvent(ctx, readerFailed{readerID: readerID, err: err})
 		}
 	})
 }
 
-// newProbe starts a closure that probes an attempt on a fresh connection and sends the result to the owner.
-func (g *run) newProbe(a *attempt) {
+// startProbe probes an attempt over a new connection in a goroutine and sends the result to the loop.
+func (g *generation) startProbe(a *attempt) {
 	a.probes++
-	a.heard = time.Now()
+	a.lastActivity = time.Now()
 	number, address, id := a.number, a.target.Address, a.id
-	g.group.Go(func() {
-		ctx, cancel := context.WithTimeout(g.life, probeTimeout)
+	g.workers.Go(func() {
+		ctx, cancel := context.WithTimeout(g.runCtx, probeTimeout)
 		defer cancel()
 		err := g.relay.engines.Probe(ctx, address, id)
-		g.send(g.life, probed{attempt: number, err: err})
+		g.sendEvent(g.runCtx, probeResult{attempt: number, err: err})
 	})
 }
 
-// patience returns how long the attempt may be silent.
-func (a *attempt) patience(g flow.Gaps) time.Duration {
-	if !a.started {
+// silenceTimeout returns how long the attempt may be silent before it becomes suspect.
+func (a *attempt) silenceTimeout(gaps flow.Gaps) time.Duration {
+	if !a.hasDelivered {
 		return flow.FirstTokenPatience
 	}
-	return g.Patience()
+	return gaps.Patience()
 }
 
-// worn tells whether the attempt has been suspected too often to be believed alive.
-func (a *attempt) worn() bool {
-	if a.started {
+// hasExhaustedProbes tells whether the attempt was probed so often without a token that it is treated as dead.
+func (a *attempt) hasExhaustedProbes() bool {
+	if a.hasDelivered {
 		return a.probes >= maxProbes
 	}
-	return a.probes >= maxUnstarted
+	return a.probes >= maxFirstTokenProbes
 }
 
-// send hands an event to the owner unless the context ends first.
-func (g *run) send(ctx context.Context, e event) {
+// sendEvent sends an event to the loop unless the context ends first.
+func (g *generation) sendEvent(ctx context.Context, e event) {
 	select {
 	case g.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// signalOf returns what an error of a probe or an attachment says about the attempt.
-func signalOf(err error) flow.Signal {
+// probeSignal returns the signal that a probe's error stands for.
+func probeSignal(err error) flow.Signal {
 	switch {
 	case err == nil:
 		return flow.Alive{}
--- a/entry/internal/relay/doc.go
+++ b/entry/internal/relay/doc.go
@@ -1,8 +1,8 @@
-// Package relay runs generations: it reads engines, keeps the one history that
-// belongs to the answer and writes it to the caller, through the loss of
-// engines and connections.
+// Package relay streams generations from engines to callers. It keeps one
+// consistent token history for each answer and recovers from failed engines
+// and broken connections.
 //
-// Package flow decides; this package carries the decisions out. Each
-// generation is owned by one goroutine, and each reader of an engine by one
-// more that only sends it events.
+// Package core/flow decides how to recover, and this package carries the
+// decisions out. One goroutine owns the state of each generation. Readers and
+// probes of engines run on goroutines of their own and only send it events.
 package relay
--- a/entry/internal/relay/recover.go
+++ b/entry/internal/relay/recover.go
@@ -11,46 +11,48 @@
 	"github.com/pkg/errors"
 )
 
-// begin starts a new generation or attaches to a running one.
-func (g *run) begin() {
+// begin starts a new generation, or resumes one by attaching to the attempt named in its cursor.
+func (g *generation) begin() {
 	if g.job.Cursor.Attempt == 0 {
-		g.elsewhere(false)
+		g.startAttempt(false)
 		return
 	}
-	g.broken = true
+	g.recovering = true
 	target, ok := g.relay.picker.Find(g.cursor.Target)
 	if !ok {
-		g.elsewhere(false)
+		g.startAttempt(false)
 		return
 	}
 	g.lineage = flow.NewLineage(g.cursor.Offset, g.cursor.Hash, g.cursor.Attempt-1)
 	var number int
 	g.lineage, number = g.lineage.WithAttempt()
 	a := g.newAttempt(number, target, g.cursor.Owner)
-	g.attach(a, g.firstUnknown(a))
+	g.attach(a, g.attachOffset(a))
 }
 
-// firstUnknown returns the offset from which an adopted attempt is read, so that as much of the text as possible becomes known.
-func (g *run) firstUnknown(a *attempt) int {
+// attachOffset returns the offset from which to read an attempt that another run started, early enough to learn as much
+// of the text as possible. Without known texts, only attempt 1 is read from 0, since only its engine is sure to stream
+// all tokens; for others the known texts begin at the caller's offset.
+func (g *generation) attachOffset(a *attempt) int {
 	if len(g.texts) > 0 {
-		return min(g.base+len(g.texts), g.lineage.Offset())
+		return min(g.textsOffset+len(g.texts), g.lineage.Offset())
 	}
 	if a.number == 1 {
 		return 0
 	}
-	g.base = g.lineage.Offset()
-	return g.base
+	g.textsOffset = g.lineage.Offset()
+	return g.textsOffset
 }
 
-// newAttempt adds an attempt on a target, started by the run that is its owner.
-func (g *run) newAttempt(number int, target route.Candidate, owner string) *attempt {
+// newAttempt adds an attempt on a target; runID is the run that started it.
+func (g *generation) newAttempt(number int, target route.Candidate, runID string) *attempt {
 	a := &attempt{
-		number:  number,
-		target:  target,
-		owner:   owner,
-		id:      attemptID(g.job.Spec.ID, number, owner),
-		heard:   time.Now(),
-		release: g.relay.picker.Hold(target.Name),
+		number:        number,
+		target:        target,
+		runID:         runID,
+		id:            attemptID(g.job.Spec.ID, number, runID),
+		lastActivity:  time.Now(),
+		releaseTarget: g.relay.picker.Hold(target.Name),
 	}
 	g.attempts[number] = a
 	if g.job.Held != nil {
@@ -59,195 +61,200 @@
 	return a
 }
 
-// attach reads a running attempt from an offset on over a fresh connection.
-func (g *run) attach(a *attempt, from int) {
-	g.relay.counts.attached.Inc()
+// attach streams a running attempt from an offset over a new connection.
+func (g *generation) attach(a *attempt, from int) {
+	g.relay.stats.generationsAttached.Inc()
 	a.next = from
 	address, id := a.target.Address, a.id
-	g.newReader(a, func(ctx context.Context, emit func(engine.Event)) error {
+	g.startReader(a, func(ctx context.Context, emit func(engine.Event)) error {
 		return g.relay.engines.Attach(ctx, address, id, from, emit)
 	})
 }
 
-// cancel stops an attempt at its engine without waiting.
-func (g *run) cancel(a *attempt) {
+// cancel stops an attempt at its engine in the background.
+func (g *generation) cancel(a *attempt) {
 	address, id := a.target.Address, a.id
 	engines := g.relay.engines
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelBound)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		_ = engines.Cancel(ctx, address, id)
 	}()
 }
 
-// discard takes nothing more from an attempt and stops it at its engine.
-func (g *run) discard(a *attempt) {
+// discard removes an attempt and stops it at its engine.
+func (g *generation) discard(a *attempt) {
 	g.remove(a)
 	g.cancel(a)
 }
 
-// remove takes nothing more from an attempt.
-func (g *run) remove(a *attempt) {
-	a.stop()
-	a.release()
+// remove stops reading an attempt and releases its target.
+func (g *generation) remove(a *attempt) {
+	a.stopReader()
+	a.releaseTarget()
 	delete(g.attempts, a.number)
 	g.lineage = g.lineage.WithoutAttempt(a.number)
 }
 
-// elsewhere starts an attempt on another target, as a rival if one is running; without a target it is tried again for a while.
-func (g *run) elsewhere(fromZero bool) {
+// startAttempt starts an attempt on a target that is not avoided, as a rival if another attempt is running. It
+// postpones the start if there is no target. With regenerate, the attempt begins at offset 0 instead of continuing
+// from the known tokens.
+func (g *generation) startAttempt(regenerate bool) {
 	if g.lineage.Offset() > 0 && !g.job.Prompt {
 		g.refuse(deny.KindLost, true, "generation %s cannot be continued: its prompt is no longer held; send the request again with Last-Event-ID", g.job.Spec.ID)
 		return
 	}
-	target, ok := g.relay.picker.Pick(g.job.Spec, g.avoid)
+	target, ok := g.relay.picker.Pick(g.job.Spec, g.avoidedTargets)
 	if !ok {
-		g.postpone(fromZero)
+		g.postponeStart(regenerate)
 		return
 	}
-	g.pending = nil
-	g.start(target, g.forced(fromZero))
+	g.pendingStart = nil
+	g.startOn(target, g.forcedTokens(regenerate))
 }
 
-// start starts an attempt on a target with the tokens that it begins with.
-func (g *run) start(target route.Candidate, forced []string) {
+// startOn starts an attempt on a target; its answer begins with the forced tokens.
+func (g *generation) startOn(target route.Candidate, forced []string) {
 	var number int
 	if len(g.attempts) > 0 {
 		g.lineage, number = g.lineage.WithRival()
 	} else {
 		g.lineage, number = g.lineage.WithAttempt()
 	}
-	a := g.newAttempt(number, target, g.owner)
+	a := g.newAttempt(number, target, g.runID)
 	a.next = len(forced)
 	request := engine.Request{ID: a.id, Spec: g.job.Spec, Forced: forced}
-	g.newReader(a, func(ctx context.Context, emit func(engine.Event)) error {
+	g.startReader(a, func(ctx context.Context, emit func(engine.Event)) error {
 		return g.relay.engines.Start(ctx, target.Address, request, emit)
 	})
 }
 
-// postpone tries again soon, then with the targets that were lost before, and refuses when none appears in time.
-func (g *run) postpone(fromZero bool) {
+// postponeStart schedules another try. After pickTimeout it allows the avoided targets again, and if that does not help
+// either, it refuses the generation unless an attempt is still running.
+func (g *generation) postponeStart(regenerate bool) {
 	now := time.Now()
-	if g.pending == nil {
-		g.pending = &pending{until: now.Add(pickPatience)}
+	if g.pendingStart == nil {
+		g.pendingStart = &pendingStart{avoidUntil: now.Add(pickTimeout)}
 	}
-	g.pending.fromZero = fromZero
-	g.pending.at = now.Add(pickPause)
+	g.pendingStart.regenerate = regenerate
+	g.pendingStart.dueAt = now.Add(pickRetryDelay)
 	switch {
-	case now.Before(g.pending.until):
-	case len(g.avoid) > 0:
-		clear(g.avoid)
+	case now.Before(g.pendingStart.avoidUntil):
+	case len(g.avoidedTargets) > 0:
+		clear(g.avoidedTargets)
 	case len(g.attempts) == 0:
 		g.refuse(deny.KindUnavailable, g.lineage.Last() > 0, "no target can run model %s now", g.job.Spec.Model)
 	default:
-		g.pending = nil
+		g.pendingStart = nil
 	}
 }
 
-// forced returns the tokens that a new attempt begins with; none when the text is not known from its beginning.
-func (g *run) forced(fromZero bool) []string {
-	if g.base > 0 {
-		g.base, g.texts, g.known = 0, nil, 0
+// forcedTokens returns the tokens that a new attempt begins with. It returns none and discards the known texts if they
+// do not begin at offset 0.
+func (g *generation) forcedTokens(regenerate bool) []string {
+	if g.textsOffset > 0 {
+		g.textsOffset, g.texts, g.textsHash = 0, nil, 0
 	}
-	if fromZero {
+	if regenerate {
 		return nil
 	}
 	return append([]string(nil), g.texts...)
 }
 
-// expire does what has become due: a postponed start, or the judgement of an attempt whose patience has run out.
-func (g *run) expire() {
-	if g.pending != nil && !time.Now().Before(g.pending.at) {
-		g.elsewhere(g.pending.fromZero)
+// handleTimeout runs a postponed start that is due, or acts on an attempt that was silent for too long.
+func (g *generation) handleTimeout() {
+	if g.pendingStart != nil && !time.Now().Before(g.pendingStart.dueAt) {
+		g.startAttempt(g.pendingStart.regenerate)
 		return
 	}
-	at, a := g.suspect()
-	if a == nil || time.Now().Before(at) || len(g.events) > 0 {
+	dueAt, a := g.nextSuspect()
+	if a == nil || time.Now().Before(dueAt) || len(g.events) > 0 {
 		return
 	}
-	if len(g.attempts) > 1 || a.worn() {
-		g.lose(a, flow.Dead{})
+	if len(g.attempts) > 1 || a.hasExhaustedProbes() {
+		g.failAttempt(a, flow.Dead{})
 		return
 	}
-	if !a.started {
-		g.newProbe(a)
+	if !a.hasDelivered {
+		g.startProbe(a)
 		return
 	}
-	g.judge(a, flow.Silent{})
+	g.handleSignal(a, flow.Silent{})
 }
 
-// judge carries out the step that a signal about an attempt asks for.
-func (g *run) judge(a *attempt, s flow.Signal) {
-	switch step := flow.Decide(g.job.Policy, s, g.deaths).(type) {
+// handleSignal carries out the recovery step for a signal about an attempt.
+func (g *generation) handleSignal(a *attempt, s flow.Signal) {
+	switch step := flow.Decide(g.job.Policy, s, g.lostEngines).(type) {
 	case flow.Attach:
 		g.attach(a, a.next)
 	case flow.Probe:
-		g.broken = g.broken || a.started
-		g.newProbe(a)
+		g.recovering = g.recovering || a.hasDelivered
+		g.startProbe(a)
 	case flow.Race:
-		g.broken = true
-		g.avoid[a.target.Name] = true
+		g.recovering = true
+		g.avoidedTargets[a.target.Name] = true
 		g.relay.picker.Suspect(a.target.Name)
-		g.elsewhere(false)
+		g.startAttempt(false)
 		if g.answer == nil {
 			a.probes++
 			g.attach(a, a.next)
 		}
 	case flow.Wait:
-		a.heard = time.Now()
+		a.lastActivity = time.Now()
 	default:
-		g.follow(a, s, step)
+		g.failOver(a, s, step)
 	}
 }
 
-// lose gives an attempt up and goes on elsewhere when it was the last.
-func (g *run) lose(a *attempt, s flow.Signal) {
-	g.follow(a, s, flow.Decide(g.job.Policy, s, g.deaths))
+// failAttempt discards an attempt and, if it was the last, takes the recovery step for the signal.
+func (g *generation) failAttempt(a *attempt, s flow.Signal) {
+	g.failOver(a, s, flow.Decide(g.job.Policy, s, g.lostEngines))
 }
 
-// follow gives an attempt up and carries out the step that follows when no other attempt is running.
-func (g *run) follow(a *attempt, s flow.Signal, step flow.Step) {
-	g.deaths++
-	g.broken = g.broken || g.lineage.Offset() > 0
-	g.avoid[a.target.Name] = true
+// failOver discards an attempt and avoids its target. It takes the step only if no other attempt is running or pending.
+func (g *generation) failOver(a *attempt, s flow.Signal, step flow.Step) {
+	g.lostEngines++
+	g.recovering = g.recovering || g.lineage.Offset() > 0
+	g.avoidedTargets[a.target.Name] = true
 	g.relay.picker.Suspect(a.target.Name)
 	g.discard(a)
-	if len(g.attempts) > 0 || g.pending != nil {
+	if len(g.attempts) > 0 || g.pendingStart != nil {
 		return
 	}
-	g.relay.counts.recovered.Inc()
+	g.relay.stats.generationsContinued.Inc()
 	switch step.(type) {
 	case flow.Abandon:
-		g.refuse(deny.KindLost, true, "generation %s lost %d engines, the last by %T; it is not tried again", g.job.Spec.ID, g.deaths, s)
+		g.refuse(deny.KindLost, true, "generation %s lost %d engines, the last by %T; it is not tried again", g.job.Spec.ID, g.lostEngines, s)
 	case flow.Regenerate:
-		g.elsewhere(true)
+		g.startAttempt(true)
 	default:
-		g.elsewhere(false)
+		g.startAttempt(false)
 	}
 }
 
-// sever handles a reader that ended by an error.
-func (g *run) sever(a *attempt, err error) {
+// handleReaderError handles a stream that ended with an error. A target that refused the attempt is avoided, but does
+// not count as a lost engine.
+func (g *generation) handleReaderError(a *attempt, err error) {
 	switch {
 	case errors.Is(err, engine.ErrRefused):
-		g.avoid[a.target.Name] = true
+		g.avoidedTargets[a.target.Name] = true
 		g.remove(a)
-		if len(g.attempts) == 0 && g.pending == nil {
-			g.elsewhere(false)
+		if len(g.attempts) == 0 && g.pendingStart == nil {
+			g.startAttempt(false)
 		}
 	case errors.Is(err, engine.ErrForgotten):
-		g.lose(a, flow.Forgotten{})
+		g.failAttempt(a, flow.Forgotten{})
 	case errors.Is(err, engine.ErrRange):
-		g.lose(a, flow.Forgotten{})
-	case len(g.attempts) > 1 || a.worn():
-		g.lose(a, flow.Dead{})
+		g.failAttempt(a, flow.Forgotten{})
+	case len(g.attempts) > 1 || a.hasExhaustedProbes():
+		g.failAttempt(a, flow.Dead{})
 	default:
-		g.judge(a, flow.Severed{})
+		g.handleSignal(a, flow.Severed{})
 	}
 }
 
-// supersede stops every attempt but the one that completed the answer.
-func (g *run) supersede(winner *attempt) {
+// discardOthers discards every attempt but the one that completed the answer.
+func (g *generation) discardOthers(winner *attempt) {
 	for _, a := range g.attempts {
 		if a != winner {
 			g.discard(a)
--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -13,46 +13,48 @@
 )
 
 const (
-	heartbeat    = time.Second            // heartbeat is the longest silence towards a caller, so that one may give a connection up in time for the 3 s resume bound.
-	probeTimeout = 300 * time.Millisecond // probeTimeout bounds a probe on a fresh connection.
-	cancelBound  = 2 * time.Second        // cancelBound bounds the order to stop a generation.
-	pickPause    = 100 * time.Millisecond // pickPause is the wait before targets are looked at again.
-	pickPatience = 2 * time.Second        // pickPatience bounds the wait for a target, within the 3 s resume bound.
+	// heartbeatInterval lets a caller notice a broken connection in time for the 3 s resume bound.
+	heartbeatInterval = time.Second
+	probeTimeout      = 300 * time.Millisecond
+	cancelTimeout     = 2 * time.Second
+	pickRetryDelay    = 100 * time.Millisecond // pickRetryDelay is the delay before another try to pick a target.
+	pickTimeout       = 2 * time.Second        // pickTimeout bounds the tries, within the 3 s resume bound.
 )
 
-// Picker chooses targets and counts the generations that this instance runs there.
+// Picker chooses targets and counts the generations that this instance runs on each.
 type Picker interface {
 	// Find returns a known target by name.
 	Find(name string) (route.Candidate, bool)
 	// Hold counts one generation on a target until release is called.
 	Hold(name string) (release func())
-	// Pick chooses a target for a generation, or returns false.
-	Pick(spec flow.Spec, avoid map[string]bool) (route.Candidate, bool)
+	// Pick chooses a target outside avoided for a generation; it returns false if there is none.
+	Pick(spec flow.Spec, avoided map[string]bool) (route.Candidate, bool)
 	// Suspect reports that a target failed.
 	Suspect(name string)
 }
 
-// Journal keeps copies of generations elsewhere and stops abandoned ones.
+// Journal replicates the progress of generations to other instances and stops abandoned generations.
 type Journal interface {
-	// Open returns the entry of a generation that this instance begins to run, with the tokens known from an offset on.
-	Open(spec flow.Spec, base int, texts []string) Entry
+	// Open returns the entry of a generation that this instance begins to run; texts are its known tokens from
+	// textsOffset on.
+	Open(spec flow.Spec, textsOffset int, texts []string) Entry
 }
 
-// Entry is one generation's place in the journal.
+// Entry is the journal entry of one generation.
 type Entry interface {
-	// Abandon stops an attempt some time after its caller left, unless another owner goes on with it.
-	Abandon(target, id string)
-	// Close forgets the finished generation.
+	// Abandon stops an attempt some time after its caller left, unless another run takes the generation over.
+	Abandon(target, attemptID string)
+	// Close removes the entry and its replica.
 	Close()
-	// Keeper returns the peer that holds the copy of the generation, or an empty name.
+	// Keeper returns the name of the peer that holds the replica, or an empty string.
 	Keeper() string
 	// Note records a token of the answer.
 	Note(p Progress)
-	// Taken returns a channel that closes when another owner goes on with the generation.
+	// Taken returns a channel that is closed when another run takes the generation over.
 	Taken() <-chan struct{}
 }
 
-// Progress is one token of the answer and the attempt that it came from.
+// Progress is a token of the answer and the attempt that produced it.
 type Progress struct {
 	Target    string
 	Attempt   int
@@ -60,67 +62,67 @@
 	Token     flow.Token
 }
 
-// Job is one generation to run or go on with.
+// Job is a generation to run or to resume.
 type Job struct {
 	Spec   flow.Spec
 	Policy flow.Policy
-	Cursor token.Cursor // Cursor is where to go on; its Attempt is 0 for a new generation.
+	Cursor token.Cursor // Cursor is the position to resume from; its Attempt is 0 for a new generation.
 	Base   int          // Base is the offset of the first of Texts.
-	Texts  []string     // Texts holds what is known of the answer so far.
-	Held   func()       // Held is called when a target is held first, or is nil.
-	Prompt bool         // Prompt tells whether Spec holds the prompt, without which nothing can be continued elsewhere.
+	Texts  []string     // Texts holds the known tokens of the answer.
+	Held   func()       // Held, unless nil, is called each time a target is held for an attempt.
+	Prompt bool         // Prompt tells whether Spec holds the prompt, which a continuation on another engine needs.
 }
 
-// Relay runs generations.
+// Relay runs generations; it is safe for concurrent use.
 type Relay struct {
 	engines engine.Client
 	picker  Picker
 	journal Journal
 	sealer  *token.Sealer
-	counts  counts
+	stats   stats
 }
 
-// counts holds the metrics of all generations.
-type counts struct {
-	tokens      *metrics.Counter
-	dropped     *metrics.Counter
-	faults      *metrics.Counter
-	recovered   *metrics.Counter
-	attached    *metrics.Counter
-	abandoned   *metrics.Counter
-	running     *metrics.Gauge
-	resume      *metrics.Histogram
-	first       *metrics.Histogram
-	divergences *metrics.Counter
+// stats holds the metrics that all generations update.
+type stats struct {
+	tokensRelayed        *metrics.Counter
+	tokensDropped        *metrics.Counter
+	tokenFaults          *metrics.Counter
+	generationsContinued *metrics.Counter
+	generationsAttached  *metrics.Counter
+	generationsLost      *metrics.Counter
+	generationsRunning   *metrics.Gauge
+	resumeSeconds        *metrics.Histogram
+	firstTokenSeconds    *metrics.Histogram
+	generationsDiverged  *metrics.Counter
 }
 
-// New returns a relay over its borders.
+// New returns a relay that runs generations on the engines and registers its metrics in the set.
 func New(engines engine.Client, picker Picker, journal Journal, sealer *token.Sealer, set *metrics.Set) *Relay {
 	return &Relay{
 		engines: engines,
 		picker:  picker,
 		journal: journal,
 		sealer:  sealer,
-		counts: counts{
-			tokens:      set.GetOrCreateCounter("bramleywharf_tokens_relayed_total"),
-			dropped:     set.GetOrCreateCounter("bramleywharf_tokens_dropped_total"),
-			faults:      set.GetOrCreateCounter("bramleywharf_token_faults_total"),
-			recovered:   set.GetOrCreateCounter("bramleywharf_generations_continued_total"),
-			attached:    set.GetOrCreateCounter("bramleywharf_generations_attached_total"),
-			abandoned:   set.GetOrCreateCounter("bramleywharf_generations_lost_total"),
-			running:     set.GetOrCreateGauge("bramleywharf_generations_running", nil),
-			resume:      set.GetOrCreateHistogram("bramleywharf_resume_seconds"),
-			first:       set.GetOrCreateHistogram("bramleywharf_first_token_seconds"),
-			divergences: set.GetOrCreateCounter("bramleywharf_generations_diverged_total"),
+		stats: stats{
+			tokensRelayed:        set.GetOrCreateCounter("bramleywharf_tokens_relayed_total"),
+			tokensDropped:        set.GetOrCreateCounter("bramleywharf_tokens_dropped_total"),
+			tokenFaults:          set.GetOrCreateCounter("bramleywharf_token_faults_total"),
+			generationsContinued: set.GetOrCreateCounter("bramleywharf_generations_continued_total"),
+			generationsAttached:  set.GetOrCreateCounter("bramleywharf_generations_attached_total"),
+			generationsLost:      set.GetOrCreateCounter("bramleywharf_generations_lost_total"),
+			generationsRunning:   set.GetOrCreateGauge("bramleywharf_generations_running", nil),
+			resumeSeconds:        set.GetOrCreateHistogram("bramleywharf_resume_seconds"),
+			firstTokenSeconds:    set.GetOrCreateHistogram("bramleywharf_first_token_seconds"),
+			generationsDiverged:  set.GetOrCreateCounter("bramleywharf_generations_diverged_total"),
 		},
 	}
 }
 
-// Run runs a generation until its end, a refusal or the caller's leaving.
+// Run runs a generation until it ends or is refused, its caller leaves, or another run takes it over.
 func (r *Relay) Run(ctx context.Context, j Job, sink chain.Sink) chain.Answer {
-	r.counts.running.Inc()
-	defer r.counts.running.Dec()
-	g := newRun(r, j, sink)
+	r.stats.generationsRunning.Inc()
+	defer r.stats.generationsRunning.Dec()
+	g := newGeneration(r, j, sink)
 	defer g.close()
 	return g.loop(ctx)
 }
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -14,73 +14,73 @@
 	"github.com/frankban/quicktest"
 )
 
-// script is an engine that sends the events of a function for each start.
-type script struct {
+// scriptedEngine is an engine whose generations are produced by a function.
+type scriptedEngine struct {
 	engine.Client
 	start func(r engine.Request, emit func(engine.Event)) error
 }
 
-// Start runs the script.
-func (s *script) Start(_ context.Context, _ string, r engine.Request, emit func(engine.Event)) error {
+// Start calls the function.
+func (s *scriptedEngine) Start(_ context.Context, _ string, r engine.Request, emit func(engine.Event)) error {
 	return s.start(r, emit)
 }
 
-// Attach knows no generation.
-func (s *script) Attach(context.Context, string, string, int, func(engine.Event)) error {
+// Attach reports every generation as unknown.
+func (s *scriptedEngine) Attach(context.Context, string, string, int, func(engine.Event)) error {
 	return engine.ErrForgotten
 }
 
 // Cancel does nothing.
-func (s *script) Cancel(context.Context, string, string) error { return nil }
+func (s *scriptedEngine) Cancel(context.Context, string, string) error { return nil }
 
-// Probe knows no generation.
-func (s *script) Probe(context.Context, string, string) error { return engine.ErrForgotten }
+// Probe reports every generation as unknown.
+func (s *scriptedEngine) Probe(context.Context, string, string) error { return engine.ErrForgotten }
 
-// single always picks one target.
-type single struct{}
+// singleTarget is a picker with one target.
+type singleTarget struct{}
 
-func (single) Find(string) (route.Candidate, bool) { return route.Candidate{Name: "t"}, true }
-func (single) Hold(string) func()                  { return func() {} }
-func (single) Pick(flow.Spec, map[string]bool) (route.Candidate, bool) {
+func (singleTarget) Find(string) (route.Candidate, bool) { return route.Candidate{Name: "t"}, true }
+func (singleTarget) Hold(string) func()                  { return func() {} }
+func (singleTarget) Pick(flow.Spec, map[string]bool) (route.Candidate, bool) {
 	return route.Candidate{Name: "t"}, true
 }
-func (single) Suspect(string) {}
-
-// memory is a journal that remembers nothing.
-type memory struct{}
-
-func (memory) Open(flow.Spec, int, []string) Entry { return memory{} }
-func (memory) Abandon(string, string)              {}
-func (memory) Close()                              {}
-func (memory) Keeper() string                      { return "k" }
-func (memory) Note(Progress)                       {}
-func (memory) Taken() <-chan struct{}              { return nil }
-
-// counter counts tokens.
-type counter struct {
-	tokens int
-	wrong  int
+func (singleTarget) Suspect(string) {}
+
+// noopJournal is a journal that records nothing.
+type noopJournal struct{}
+
+func (noopJournal) Open(flow.Spec, int, []string) Entry { return noopJournal{} }
+func (noopJournal) Abandon(string, string)              {}
+func (noopJournal) Close()                              {}
+func (noopJournal) Keeper() string                      { return "k" }
+func (noopJournal) Note(Progress)                       {}
+func (noopJournal) Taken() <-chan struct{}              { return nil }
+
+// countingSink counts the tokens it receives.
+type countingSink struct {
+	tokens     int
+	misordered int // misordered counts tokens whose offset was not the next.
 }
 
-func (c *counter) Heartbeat() error { return nil }
-func (c *counter) Token(_ string, t flow.Token) error {
+func (c *countingSink) Heartbeat() error { return nil }
+func (c *countingSink) Token(_ string, t flow.Token) error {
 	if t.Offset != c.tokens {
-		c.wrong++
+		c.misordered++
 	}
 	c.tokens++
 	return nil
 }
 
-// newRelay returns a relay over a script.
+// newRelay returns a relay to a scripted engine.
 func newRelay(tb testing.TB, start func(engine.Request, func(engine.Event)) error) *Relay {
 	sealer, err := token.NewSealer([]byte("fleet"))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return New(&script{start: start}, single{}, memory{}, sealer, metrics.NewSet())
+	return New(&scriptedEngine{start: start}, singleTarget{}, noopJournal{}, sealer, metrics.NewSet())
 }
 
-// emitAll sends all tokens of a generation and its end.
+// emitAll emits the tokens after the forced ones and a normal end.
 func emitAll(r engine.Request, emit func(engine.Event)) error {
 	for offset := len(r.Forced); offset < r.Spec.MaxTokens; offset++ {
 		emit(engine.Token{Token: flow.Token{Offset: offset, Text: "word "}})
@@ -89,64 +89,65 @@
 	return nil
 }
 
-// job returns a generation of some tokens.
-func job(tokens int) Job {
-	return Job{Spec: flow.Spec{ID: "r", Organisation: "o", Model: "m", Version: "1", Prompt: "p", MaxTokens: tokens}, Policy: flow.Latency{}, Prompt: true}
+// newJob returns a new generation with a token limit.
+func newJob(maxTokens int) Job {
+	return Job{Spec: flow.Spec{ID: "r", Organisation: "o", Model: "m", Version: "1", Prompt: "p", MaxTokens: maxTokens}, Policy: flow.Latency{}, Prompt: true}
 }
 
-// TestMillionTokens checks that the longest answer allowed comes whole.
+// TestMillionTokens checks that the longest allowed answer arrives complete.
 func TestMillionTokens(t *testing.T) {
 	const tokens = 1_000_000
 	c := quicktest.New(t)
-	sink := &counter{}
-	answer := newRelay(t, emitAll).Run(t.Context(), job(tokens), sink)
+	sink := &countingSink{}
+	answer := newRelay(t, emitAll).Run(t.Context(), newJob(tokens), sink)
 	c.Assert(answer, quicktest.Equals, chain.Answer(chain.Streamed{Reason: engine.ReasonLength, Tokens: tokens}))
 	c.Assert(sink.tokens, quicktest.Equals, tokens)
-	c.Assert(sink.wrong, quicktest.Equals, 0)
+	c.Assert(sink.misordered, quicktest.Equals, 0)
 }
 
-// TestFaultyEngines checks what becomes of answers whose engines break the protocol.
+// TestFaultyEngines checks that an answer is complete although its first engine breaks the protocol, and that it is
+// refused after a bounded number of attempts if every engine does.
 func TestFaultyEngines(t *testing.T) {
-	send := func(emit func(engine.Event), offsets ...int) {
+	emitTokens := func(emit func(engine.Event), offsets ...int) {
 		for _, offset := range offsets {
 			emit(engine.Token{Token: flow.Token{Offset: offset, Text: "word "}})
 		}
 	}
 	cases := map[string]struct {
-		first  func(r engine.Request, emit func(engine.Event)) error // first is the first start; later ones are sound.
-		always bool                                                  // always tells whether later starts do the same.
-		whole  bool
+		firstStart   func(r engine.Request, emit func(engine.Event)) error // firstStart handles the first start.
+		everyStart   bool                                                  // everyStart makes firstStart handle all starts.
+		wantComplete bool
 	}{
-		"sound":           {first: emitAll, whole: true},
-		"repeats":         {first: func(_ engine.Request, emit func(engine.Event)) error { send(emit, 0, 1, 1, 2); return nil }, whole: true},
-		"skips":           {first: func(_ engine.Request, emit func(engine.Event)) error { send(emit, 0, 2); return nil }, whole: true},
-		"begins-too-late": {first: func(_ engine.Request, emit func(engine.Event)) error { send(emit, 3); return nil }, whole: true},
-		"cancelled": {first: func(_ engine.Request, emit func(engine.Event)) error {
-			send(emit, 0)
+		"no-fault":        {firstStart: emitAll, wantComplete: true},
+		"repeats-offset":  {firstStart: func(_ engine.Request, emit func(engine.Event)) error { emitTokens(emit, 0, 1, 1, 2); return nil }, wantComplete: true},
+		"skips-offset":    {firstStart: func(_ engine.Request, emit func(engine.Event)) error { emitTokens(emit, 0, 2); return nil }, wantComplete: true},
+		"starts-too-late": {firstStart: func(_ engine.Request, emit func(engine.Event)) error { emitTokens(emit, 3); return nil }, wantComplete: true},
+		"ends-early": {firstStart: func(_ engine.Request, emit func(engine.Event)) error {
+			emitTokens(emit, 0)
 			emit(engine.Ended{Reason: "cancelled"})
 			return nil
-		}, whole: true},
-		"refuses": {first: func(engine.Request, func(engine.Event)) error { return engine.ErrRefused }, whole: true},
-		"poisoned-each-time": {first: func(r engine.Request, emit func(engine.Event)) error {
-			send(emit, len(r.Forced))
+		}, wantComplete: true},
+		"refuses-start": {firstStart: func(engine.Request, func(engine.Event)) error { return engine.ErrRefused }, wantComplete: true},
+		"fails-after-each-token": {firstStart: func(r engine.Request, emit func(engine.Event)) error {
+			emitTokens(emit, len(r.Forced))
 			return engine.ErrForgotten
-		}, always: true},
+		}, everyStart: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			starts := 0
+			startCount := 0
 			relay := newRelay(t, func(r engine.Request, emit func(engine.Event)) error {
-				starts++
-				if starts == 1 || test.always {
-					return test.first(r, emit)
+				startCount++
+				if startCount == 1 || test.everyStart {
+					return test.firstStart(r, emit)
 				}
 				return emitAll(r, emit)
 			})
-			sink := &counter{}
-			answer := relay.Run(t.Context(), job(10), sink)
-			c.Assert(sink.wrong, quicktest.Equals, 0)
-			if test.whole {
+			sink := &countingSink{}
+			answer := relay.Run(t.Context(), newJob(10), sink)
+			c.Assert(sink.misordered, quicktest.Equals, 0)
+			if test.wantComplete {
 				c.Assert(answer, quicktest.Equals, chain.Answer(chain.Streamed{Reason: engine.ReasonLength, Tokens: 10}))
 				return
 			}
@@ -154,13 +155,13 @@
 			c.Assert(ok, quicktest.IsTrue)
 			c.Assert(refused.Refusal.Kind, quicktest.Equals, deny.KindLost)
 			c.Assert(refused.Refusal.Executed, quicktest.Equals, deny.ExecutedUnknown)
-			c.Assert(starts <= flow.MaxDeaths+2, quicktest.IsTrue, quicktest.Commentf("%d starts", starts))
+			c.Assert(startCount <= flow.MaxDeaths+2, quicktest.IsTrue, quicktest.Commentf("%d starts", startCount))
 		})
 	}
 }
 
-// BenchmarkRelayToken measures one token from the engine's event to the caller's sink, the sealed id included.
+// BenchmarkRelayToken measures one token from the engine's event to the caller's sink, including sealing its id.
 func BenchmarkRelayToken(b *testing.B) {
 	b.ReportAllocs()
-	newRelay(b, emitAll).Run(context.Background(), job(b.N), &counter{})
+	newRelay(b, emitAll).Run(context.Background(), newJob(b.N), &countingSink{})
 }
--- a/entry/internal/relay/run.go
+++ b/entry/internal/relay/run.go
@@ -12,284 +12,287 @@
 	"bramleywharf.example/entry/internal/engine"
 )
 
-// ownerLength is the length of a run's name, enough that no two runs of a request share one.
-const ownerLength = 12
+// runIDLength is the number of random characters in a run's id, enough to tell the runs of one request apart.
+const runIDLength = 12
 
-// run is one generation, owned by the goroutine that calls loop.
-type run struct {
-	relay    *Relay
-	job      Job
-	sink     chain.Sink
-	owner    string // owner names this run in the ids of the attempts that it starts.
-	entry    Entry
-	cursor   token.Cursor
-	lineage  flow.Lineage
-	gaps     flow.Gaps
-	base     int
-	texts    []string
-	known    uint64 // known is the running hash of texts, valid when base is 0.
-	deaths   int
-	avoid    map[string]bool
-	attempts map[int]*attempt
-	pending  *pending // pending is a start that waits for a target, or nil.
-	events   chan event
-	readers  int
-	began    time.Time
-	last     time.Time // last is when the latest token was delivered.
-	broken   bool      // broken tells that a recovery is under way.
-	answer   chain.Answer
+// generation is the state of one run of a generation; only the goroutine that runs loop uses it.
+type generation struct {
+	relay          *Relay
+	job            Job
+	sink           chain.Sink
+	runID          string // runID is part of the ids of the attempts that this run starts.
+	journalEntry   Entry
+	cursor         token.Cursor
+	lineage        flow.Lineage
+	gaps           flow.Gaps
+	textsOffset    int      // textsOffset is the offset of the first of texts.
+	texts          []string // texts holds the known tokens of the answer.
+	textsHash      uint64   // textsHash is the running hash of texts, valid while textsOffset is 0.
+	lostEngines    int
+	avoidedTargets map[string]bool
+	attempts       map[int]*attempt // attempts holds the running attempts by number.
+	pendingStart   *pendingStart    // pendingStart is nil unless a start waits for a target.
+	events         chan event
+	lastReaderID   int
+	startedAt      time.Time
+	lastDelivery   time.Time
+	recovering     bool // recovering is set from a loss until the next delivered token.
+	answer         chain.Answer
 
-	life  context.Context // life ends with the generation's owner.
-	end   context.CancelFunc
-	group sync.WaitGroup
+	runCtx    context.Context // runCtx ends when this run of the generation does.
+	cancelRun context.CancelFunc
+	workers   sync.WaitGroup // workers counts the readers and probes.
 }
 
-// pending is a start that waits for a target.
-type pending struct {
-	fromZero bool
-	at       time.Time // at is when targets are looked at again.
-	until    time.Time // until is when the targets that were lost before are taken too.
+// pendingStart is a start that waits for a target.
+type pendingStart struct {
+	regenerate bool
+	dueAt      time.Time
+	avoidUntil time.Time // avoidUntil is when the avoided targets are allowed again.
 }
 
-// newRun returns a generation that has not begun.
-func newRun(r *Relay, j Job, sink chain.Sink) *run {
-	life, end := context.WithCancel(context.Background())
-	g := &run{
-		relay:    r,
-		job:      j,
-		sink:     sink,
-		owner:    token.NewID()[:ownerLength],
-		entry:    r.journal.Open(j.Spec, j.Base, j.Texts),
-		cursor:   j.Cursor,
-		lineage:  flow.NewLineage(j.Cursor.Offset, j.Cursor.Hash, j.Cursor.Attempt),
-		base:     j.Base,
-		texts:    j.Texts,
-		avoid:    make(map[string]bool),
-		attempts: make(map[int]*attempt),
-		events:   make(chan event, 64),
-		began:    time.Now(),
-		life:     life,
-		end:      end,
+// newGeneration returns a generation whose loop has not started.
+func newGeneration(r *Relay, j Job, sink chain.Sink) *generation {
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	g := &generation{
+		relay:          r,
+		job:            j,
+		sink:           sink,
+		runID:          token.NewID()[:runIDLength],
+		journalEntry:   r.journal.Open(j.Spec, j.Base, j.Texts),
+		cursor:         j.Cursor,
+		lineage:        flow.NewLineage(j.Cursor.Offset, j.Cursor.Hash, j.Cursor.Attempt),
+		textsOffset:    j.Base,
+		texts:          j.Texts,
+		avoidedTargets: make(map[string]bool),
+		attempts:       make(map[int]*attempt),
+		events:         make(chan event, 64),
+		startedAt:      time.Now(),
+		runCtx:         runCtx,
+		cancelRun:      cancelRun,
 	}
-	g.last = g.began
+	g.lastDelivery = g.startedAt
 	for _, text := range j.Texts {
-		g.known = flow.NextHash(g.known, text)
+		g.textsHash = flow.NextHash(g.textsHash, text)
 	}
 	return g
 }
 
-// close stops all readers and waits for them.
-func (g *run) close() {
-	g.end()
+// close releases all targets, stops the readers and probes, and waits for them.
+func (g *generation) close() {
+	g.cancelRun()
 	for _, a := range g.attempts {
-		a.stop()
-		a.release()
+		a.stopReader()
+		a.releaseTarget()
 	}
-	g.group.Wait()
+	g.workers.Wait()
 }
 
-// deadline returns when something becomes due.
-func (g *run) deadline() time.Time {
-	at, a := g.suspect()
-	if g.pending != nil && (a == nil || g.pending.at.Before(at)) {
-		return g.pending.at
+// nextDeadline returns when a postponed start or a suspect attempt has to be handled.
+func (g *generation) nextDeadline() time.Time {
+	dueAt, a := g.nextSuspect()
+	if g.pendingStart != nil && (a == nil || g.pendingStart.dueAt.Before(dueAt)) {
+		return g.pendingStart.dueAt
 	}
 	if a == nil {
-		return time.Now().Add(heartbeat)
+		return time.Now().Add(heartbeatInterval)
 	}
-	return at
+	return dueAt
 }
 
-// deliver writes a token to the caller.
-func (g *run) deliver(a *attempt, t flow.Token) {
-	now := time.Now()
+// deliver sends a token to the caller and records it in the journal.
+func (g *generation) deliver(a *attempt, t flow.Token) {
+	receivedAt := time.Now()
 	g.texts = append(g.texts, t.Text)
-	g.known = flow.NextHash(g.known, t.Text)
-	g.cursor = g.cursor.WithProgress(a.target.Name, a.owner, a.number, g.lineage.Offset(), g.lineage.Hash())
-	g.cursor.Keeper = g.entry.Keeper()
+	g.textsHash = flow.NextHash(g.textsHash, t.Text)
+	g.cursor = g.cursor.WithProgress(a.target.Name, a.runID, a.number, g.lineage.Offset(), g.lineage.Hash())
+	g.cursor.Keeper = g.journalEntry.Keeper()
 	id, err := g.relay.sealer.Seal(g.job.Spec.Organisation, g.cursor)
 	if err == nil {
 		err = g.sink.Token(id, t)
 	}
 	if err != nil {
-		g.leave()
+		g.handleCallerGone()
 		return
 	}
-	g.relay.counts.tokens.Inc()
-	g.entry.Note(progress(a, t))
-	g.measure(a, now)
-	a.heard = time.Now()
-	g.last = a.heard
+	g.relay.stats.tokensRelayed.Inc()
+	g.journalEntry.Note(newProgress(a, t))
+	g.recordTiming(a, receivedAt)
+	a.lastActivity = time.Now()
+	g.lastDelivery = a.lastActivity
 }
 
-// measure records the gap before a delivered token.
-func (g *run) measure(a *attempt, now time.Time) {
-	gap := now.Sub(g.last)
+// recordTiming records the time before a delivered token as recovery time, first-token time or normal gap.
+func (g *generation) recordTiming(a *attempt, receivedAt time.Time) {
+	gap := receivedAt.Sub(g.lastDelivery)
 	switch {
-	case g.broken:
-		g.relay.counts.resume.Update(gap.Seconds())
-		g.broken = false
-	case !a.started:
-		g.relay.counts.first.Update(now.Sub(g.began).Seconds())
+	case g.recovering:
+		g.relay.stats.resumeSeconds.Update(gap.Seconds())
+		g.recovering = false
+	case !a.hasDelivered:
+		g.relay.stats.firstTokenSeconds.Update(receivedAt.Sub(g.startedAt).Seconds())
 	default:
 		g.gaps = g.gaps.WithGap(gap)
 	}
-	a.started = true
+	a.hasDelivered = true
 	a.probes = 0
 }
 
-// finish ends the generation with an answer.
-func (g *run) finish(answer chain.Answer) {
+// finish sets the answer, which ends the loop, unless one is already set.
+func (g *generation) finish(answer chain.Answer) {
 	if g.answer == nil {
 		g.answer = answer
 	}
 }
 
-// handle takes one event.
-func (g *run) handle(e event) {
+// handleEvent handles an event from a reader or probe; events from replaced readers are dropped.
+func (g *generation) handleEvent(e event) {
 	switch e := e.(type) {
-	case streamed:
-		if a := g.byReader(e.reader); a != nil {
-			g.take(a, e.event)
+	case streamEvent:
+		if a := g.attemptByReader(e.readerID); a != nil {
+			g.handleStreamEvent(a, e.event)
 			return
 		}
-		g.relay.counts.dropped.Inc()
-	case failed:
-		if a := g.byReader(e.reader); a != nil {
-			g.sever(a, e.err)
+		g.relay.stats.tokensDropped.Inc()
+	case readerFailed:
+		if a := g.attemptByReader(e.readerID); a != nil {
+			g.handleReaderError(a, e.err)
 		}
-	case probed:
+	case probeResult:
 		if a, ok := g.attempts[e.attempt]; ok {
-			g.judge(a, signalOf(e.err))
+			g.handleSignal(a, probeSignal(e.err))
 		}
 	}
 }
 
-// byReader returns the attempt whose current reader has a number, or nil.
-func (g *run) byReader(reader int) *attempt {
+// attemptByReader returns the attempt whose current reader has the id, or nil.
+func (g *generation) attemptByReader(readerID int) *attempt {
 	for _, a := range g.attempts {
-		if a.reader == reader {
+		if a.readerID == readerID {
 			return a
 		}
 	}
 	return nil
 }
 
-// leave ends the generation because its caller is gone; the engine goes on for a while so that the caller may come back.
-func (g *run) leave() {
+// handleCallerGone ends this run. The engines continue for a while, so that the caller can resume the generation.
+func (g *generation) handleCallerGone() {
 	for _, a := range g.attempts {
-		g.entry.Abandon(a.target.Name, a.id)
+		g.journalEntry.Abandon(a.target.Name, a.id)
 	}
 	if len(g.attempts) == 0 {
-		g.entry.Close()
+		g.journalEntry.Close()
 	}
 	g.finish(chain.Left{})
 }
 
-// loop owns the generation until it has an answer.
-func (g *run) loop(ctx context.Context) chain.Answer {
+// loop handles events and timeouts until the generation has an answer.
+func (g *generation) loop(ctx context.Context) chain.Answer {
 	g.begin()
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
-	timer := time.NewTimer(time.Hour)
-	defer timer.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	deadlineTimer := time.NewTimer(time.Hour)
+	defer deadlineTimer.Stop()
 	for g.answer == nil {
-		timer.Reset(time.Until(g.deadline()))
+		deadlineTimer.Reset(time.Until(g.nextDeadline()))
 		select {
 		case e := <-g.events:
-			g.handle(e)
-		case <-timer.C:
-			g.expire()
-		case <-beat.C:
-			g.beat()
-		case <-g.entry.Taken():
+			g.handleEvent(e)
+		case <-deadlineTimer.C:
+			g.handleTimeout()
+		case <-heartbeat.C:
+			g.heartbeat()
+		case <-g.journalEntry.Taken():
 			g.finish(chain.Left{})
 		case <-ctx.Done():
-			g.leave()
+			g.handleCallerGone()
 		}
 	}
-	g.settle()
+	g.cleanUp()
 	return g.answer
 }
 
-// beat shows the caller that the stream is alive when no token has for a while.
-func (g *run) beat() {
-	if time.Since(g.last) < heartbeat {
+// heartbeat sends the caller a heartbeat if no token was delivered within the last interval.
+func (g *generation) heartbeat() {
+	if time.Since(g.lastDelivery) < heartbeatInterval {
 		return
 	}
 	if err := g.sink.Heartbeat(); err != nil {
-		g.leave()
+		g.handleCallerGone()
 	}
 }
 
-// settle closes the books of a generation that has its answer.
-func (g *run) settle() {
+// cleanUp closes the journal entry and stops the attempts of a refused generation. It leaves both alone if the caller
+// left or another run took over, so that the generation can continue.
+func (g *generation) cleanUp() {
 	switch g.answer.(type) {
 	case chain.Left:
 		return
 	case chain.Refused:
-		g.relay.counts.abandoned.Inc()
+		g.relay.stats.generationsLost.Inc()
 		for _, a := range g.attempts {
 			g.cancel(a)
 		}
 	}
-	g.entry.Close()
+	g.journalEntry.Close()
 }
 
-// refuse ends the generation with a refusal that says truthfully whether it ran.
-func (g *run) refuse(kind deny.Kind, ran bool, format string, args ...any) {
+// refuse ends the generation with a refusal; mayHaveRun tells whether an engine may have executed part of it.
+func (g *generation) refuse(kind deny.Kind, mayHaveRun bool, format string, args ...any) {
 	refusal := deny.New(kind, format, args...)
-	if ran {
+	if mayHaveRun {
 		refusal = refusal.WithExecuted(deny.ExecutedUnknown)
 	}
 	g.finish(chain.Refuse(refusal.WithRetryAfter(time.Second)))
 }
 
-// suspect returns the time at which the first attempt becomes suspect, and that attempt or nil.
-func (g *run) suspect() (time.Time, *attempt) {
+// nextSuspect returns the attempt that becomes suspect first, or nil, and the time at which it does.
+func (g *generation) nextSuspect() (time.Time, *attempt) {
 	var first *attempt
-	var at time.Time
+	var earliest time.Time
 	for _, a := range g.attempts {
-		d := a.heard.Add(a.patience(g.gaps))
-		if first == nil || d.Before(at) {
-			first, at = a, d
+		suspectAt := a.lastActivity.Add(a.silenceTimeout(g.gaps))
+		if first == nil || suspectAt.Before(earliest) {
+			first, earliest = a, suspectAt
 		}
 	}
-	return at, first
+	return earliest, first
 }
 
-// take decides what an event of a stream means for the answer.
-func (g *run) take(a *attempt, e engine.Event) {
+// handleStreamEvent handles an event from an attempt's current stream.
+func (g *generation) handleStreamEvent(a *attempt, e engine.Event) {
 	switch e := e.(type) {
 	case engine.Token:
-		g.takeToken(a, e.Token)
+		g.handleToken(a, e.Token)
 	case engine.Ended:
-		g.takeEnd(a, e)
+		g.handleEnd(a, e)
 	}
 }
 
-// takeEnd finishes the answer if the attempt has delivered all of it.
-func (g *run) takeEnd(a *attempt, e engine.Ended) {
-	whole := g.lineage.Holds(a.number) && a.next == g.lineage.Offset()
-	if e.Complete() && whole {
-		g.supersede(a)
+// handleEnd finishes the answer if the stream ended normally and all of its tokens were delivered.
+// Otherwise the attempt fails.
+func (g *generation) handleEnd(a *attempt, e engine.Ended) {
+	allDelivered := g.lineage.Holds(a.number) && a.next == g.lineage.Offset()
+	if e.Complete() && allDelivered {
+		g.discardOthers(a)
 		g.finish(chain.Streamed{Reason: e.Reason, Tokens: g.lineage.Offset()})
 		return
 	}
-	g.lose(a, flow.Forgotten{})
+	g.failAttempt(a, flow.Forgotten{})
 }
 
-// takeToken offers a token to the history of the answer.
-func (g *run) takeToken(a *attempt, t flow.Token) {
+// handleToken delivers a token if it is the next of the answer. A token that skips or repeats an offset fails the
+// attempt.
+func (g *generation) handleToken(a *attempt, t flow.Token) {
 	if t.Offset != a.next {
-		g.relay.counts.faults.Inc()
-		g.lose(a, flow.Forgotten{})
+		g.relay.stats.tokenFaults.Inc()
+		g.failAttempt(a, flow.Forgotten{})
 		return
 	}
 	a.next++
-	a.heard = time.Now()
+	a.lastActivity = time.Now()
 	if t.Offset < g.lineage.Offset() {
-		g.replay(a, t)
+		g.checkReplayed(a, t)
 		return
 	}
 	next, verdict := g.lineage.Offer(a.number, t)
@@ -301,39 +304,40 @@
 		}
 		g.deliver(a, t)
 	case flow.Drop:
-		g.relay.counts.dropped.Inc()
+		g.relay.stats.tokensDropped.Inc()
 	case flow.Fault:
-		g.relay.counts.faults.Inc()
-		g.lose(a, flow.Forgotten{})
+		g.relay.stats.tokenFaults.Inc()
+		g.failAttempt(a, flow.Forgotten{})
 	}
 }
 
-// replay checks a token that the caller has already; what is not known by its text is proved by the running hash.
-func (g *run) replay(a *attempt, t flow.Token) {
-	at := t.Offset - g.base
-	if at < len(g.texts) {
-		if at >= 0 && g.texts[at] != t.Text {
-			g.diverge(a)
+// checkReplayed compares a token that the caller already has with the known text. Tokens whose text is not known are
+// collected and verified by the running hash once all are there.
+func (g *generation) checkReplayed(a *attempt, t flow.Token) {
+	index := t.Offset - g.textsOffset
+	if index < len(g.texts) {
+		if index >= 0 && g.texts[index] != t.Text {
+			g.refuseDiverged(a)
 		}
 		return
 	}
 	g.texts = append(g.texts, t.Text)
-	g.known = flow.NextHash(g.known, t.Text)
-	g.entry.Note(progress(a, t))
-	complete := g.base+len(g.texts) == g.lineage.Offset()
-	if complete && g.base == 0 && g.known != g.lineage.Hash() {
-		g.diverge(a)
+	g.textsHash = flow.NextHash(g.textsHash, t.Text)
+	g.journalEntry.Note(newProgress(a, t))
+	allKnown := g.textsOffset+len(g.texts) == g.lineage.Offset()
+	if allKnown && g.textsOffset == 0 && g.textsHash != g.lineage.Hash() {
+		g.refuseDiverged(a)
 	}
 }
 
-// diverge refuses to splice a text that is not the history of the answer.
-func (g *run) diverge(a *attempt) {
-	g.relay.counts.divergences.Inc()
+// refuseDiverged refuses the generation because an engine replayed a text that differs from the delivered one.
+func (g *generation) refuseDiverged(a *attempt) {
+	g.relay.stats.generationsDiverged.Inc()
 	g.cancel(a)
 	g.refuse(deny.KindLost, true, "generation %s cannot be continued: engine %s produced another text", g.job.Spec.ID, a.target.Name)
 }
 
-// progress returns what the journal records of a token.
-func progress(a *attempt, t flow.Token) Progress {
+// newProgress returns the journal record of a token.
+func newProgress(a *attempt, t flow.Token) Progress {
 	return Progress{Target: a.target.Name, Attempt: a.number, AttemptID: a.id, Token: t}
 }
