--- a/entry/internal/engine/caller.go
+++ b/entry/internal/engine/caller.go
@@ -11,19 +11,19 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of plain services.
+// Errors of calls to plain services.
 var (
 	ErrNotSent = errors.New("nothing was sent to the service")
 	ErrUnknown = errors.New("the service may have executed the call")
 )
 
-// MaxAnswer bounds the body of a service's answer, in bytes.
+// MaxAnswer bounds the body of a service's response, in bytes.
 const MaxAnswer = 256 << 10
 
-// KeyHeader carries the key of a non-idempotent call to the service.
+// KeyHeader is the header that carries the key of a non-idempotent call to the service.
 const KeyHeader = "X-Order-Key"
 
-// Call is one call of a plain service.
+// Call is a call to a plain service.
 type Call struct {
 	Method      string
 	Path        string
@@ -32,16 +32,17 @@
 	Body        []byte
 }
 
-// Result is a service's answer.
+// Result is a service's response.
 type Result struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Caller calls plain services at their addresses; implementations never send a call twice and are safe for concurrent use.
+// Caller calls plain services at their addresses. Implementations never send a call twice and are safe for concurrent
+// use.
 type Caller interface {
-	// Call sends a call once; the error wraps ErrNotSent or ErrUnknown.
+	// Call sends a call once; an error wraps ErrNotSent or ErrUnknown.
 	Call(ctx context.Context, address string, c Call) (Result, error)
 }
 
@@ -52,7 +53,7 @@
 
 var _ Caller = (*HTTPCaller)(nil)
 
-// dialError marks a failure to connect, before anything is sent.
+// dialError is a failure to connect, before anything was sent.
 type dialError struct {
 	cause error
 }
@@ -67,30 +68,30 @@
 	return d.cause
 }
 
-// NewCaller returns a caller; dial is nil for TCP.
+// NewCaller returns a caller that connects with dial, or over TCP if dial is nil.
 //
-// Every call has a connection of its own: net/http sends a request again by
-// itself only on a kept connection that turns out stale, or when it follows a
-// redirect, and neither can happen here.
+// Every call uses its own connection. net/http resends a request only when a
+// reused connection turns out to be closed or when it follows a redirect, and
+// neither can happen here.
 func NewCaller(dial func(ctx context.Context, network, address string) (net.Conn, error)) *HTTPCaller {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	marked := func(ctx context.Context, network, address string) (net.Conn, error) {
+	dialMarked := func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, dialError{cause: err}
 		}
 		return conn, nil
 	}
-	return &HTTPCaller{transport: &http.Transport{DialContext: marked, DisableKeepAlives: true, DisableCompression: true}}
+	return &HTTPCaller{transport: &http.Transport{DialContext: dialMarked, DisableKeepAlives: true, DisableCompression: true}}
 }
 
-// Call sends a call once on a connection of its own.
+// Call sends a call once over its own connection.
 func (h *HTTPCaller) Call(ctx context.Context, address string, c Call) (Result, error) {
 	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
-		return Result{}, fmt.Errorf("%w: build call: %w", ErrNotSent, err)
+		return Result{}, fmt.Errorf("%w: build request: %w", ErrNotSent, err)
 	}
 	request.GetBody = nil
 	if c.ContentType != "" {
@@ -101,21 +102,21 @@
 	}
 	response, err := h.transport.RoundTrip(request)
 	if err != nil {
-		return Result{}, fmt.Errorf("%w: %w", sendError(err), err)
+		return Result{}, fmt.Errorf("%w: %w", classifySendError(err), err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswer+1))
 	if err != nil {
-		return Result{}, fmt.Errorf("%w: read answer: %w", ErrUnknown, err)
+		return Result{}, fmt.Errorf("%w: read response: %w", ErrUnknown, err)
 	}
 	if len(body) > MaxAnswer {
-		return Result{}, fmt.Errorf("%w: answer is over %d bytes", ErrUnknown, MaxAnswer)
+		return Result{}, fmt.Errorf("%w: response is over %d bytes", ErrUnknown, MaxAnswer)
 	}
 	return Result{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// sendError tells whether a failed round trip may have sent something.
-func sendError(err error) error {
+// classifySendError returns ErrNotSent if a failed round trip sent nothing for sure, and ErrUnknown otherwise.
+func classifySendError(err error) error {
 	var d dialError
 	if errors.As(err, &d) {
 		return ErrNotSent
--- a/entry/internal/engine/caller_test.go
+++ b/entry/internal/engine/caller_test.go
@@ -14,8 +14,9 @@
 	"github.com/pkg/errors"
 )
 
-// flakyServer answers the first request of each connection and reads the second without an answer; it counts all requests that reach it.
-func flakyServer(c *quicktest.C, answers int) (address string, requests *atomic.Int64) {
+// startClosingServer starts a server that answers some requests of each connection and closes it after reading the next
+// one. It counts the requests that it reads.
+func startClosingServer(c *quicktest.C, responsesPerConnection int) (address string, requests *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	c.Cleanup(func() { _ = listener.Close() })
@@ -36,7 +37,7 @@
 					}
 					requests.Add(1)
 					_ = r.Body.Close()
-					if i >= answers {
+					if i >= responsesPerConnection {
 						return
 					}
 					_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
@@ -47,10 +48,11 @@
 	return listener.Addr().String(), requests
 }
 
-// TestTransportReplays shows the trap: net/http sends a call with a key again when a kept connection closes under it.
+// TestTransportReplays shows the behaviour of net/http that Caller avoids: a request with an idempotency key is resent
+// when a reused connection closes.
 func TestTransportReplays(t *testing.T) {
 	c := quicktest.New(t)
-	address, requests := flakyServer(c, 1)
+	address, requests := startClosingServer(c, 1)
 	client := &http.Client{Transport: &http.Transport{}}
 	for range 2 {
 		r, err := http.NewRequest(http.MethodPost, "http://"+address+"/orders", strings.NewReader("7"))
@@ -66,26 +68,26 @@
 
 func TestCallerSendsOnce(t *testing.T) {
 	cases := map[string]struct {
-		answers int
-		call    Call
-		calls   int
-		want    error
+		responsesPerConnection int
+		call                   Call
+		callCount              int
+		wantErr                error
 	}{
-		"closed-without-answer": {answers: 0, call: Call{Method: "POST", Path: "/orders", Key: "k", Body: []byte("7")}, calls: 1, want: ErrUnknown},
-		"without-a-body":        {answers: 0, call: Call{Method: "POST", Path: "/orders", Key: "k"}, calls: 1, want: ErrUnknown},
-		"get":                   {answers: 0, call: Call{Method: "GET", Path: "/orders"}, calls: 1, want: ErrUnknown},
-		"answered":              {answers: 1, call: Call{Method: "POST", Path: "/orders", Key: "k", Body: []byte("7")}, calls: 3},
+		"closed-without-response": {responsesPerConnection: 0, call: Call{Method: "POST", Path: "/orders", Key: "k", Body: []byte("7")}, callCount: 1, wantErr: ErrUnknown},
+		"without-body":            {responsesPerConnection: 0, call: Call{Method: "POST", Path: "/orders", Key: "k"}, callCount: 1, wantErr: ErrUnknown},
+		"get":                     {responsesPerConnection: 0, call: Call{Method: "GET", Path: "/orders"}, callCount: 1, wantErr: ErrUnknown},
+		"one-response":            {responsesPerConnection: 1, call: Call{Method: "POST", Path: "/orders", Key: "k", Body: []byte("7")}, callCount: 3},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			address, requests := flakyServer(c, test.answers)
+			address, requests := startClosingServer(c, test.responsesPerConnection)
 			caller := NewCaller(nil)
-			for range test.calls {
+			for range test.callCount {
 				_, err := caller.Call(context.Background(), address, test.call)
-				c.Assert(errors.Is(err, test.want), quicktest.IsTrue, quicktest.Commentf("%v", err))
+				c.Assert(errors.Is(err, test.wantErr), quicktest.IsTrue, quicktest.Commentf("%v", err))
 			}
-			c.Assert(requests.Load(), quicktest.Equals, int64(test.calls))
+			c.Assert(requests.Load(), quicktest.Equals, int64(test.callCount))
 		})
 	}
 }
@@ -102,11 +104,11 @@
 
 func TestCallerFollowsNoRedirect(t *testing.T) {
 	c := quicktest.New(t)
-	var hits atomic.Int64
+	var requests atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	server := &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		hits.Add(1)
+		requests.Add(1)
 		http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 	})}
 	go func() { _ = server.Serve(listener) }()
@@ -114,5 +116,5 @@
 	result, err := NewCaller(nil).Call(context.Background(), listener.Addr().String(), Call{Method: "POST", Path: "/orders", Body: []byte("7")})
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(result.Status, quicktest.Equals, http.StatusTemporaryRedirect)
-	c.Assert(hits.Load(), quicktest.Equals, int64(1))
+	c.Assert(requests.Load(), quicktest.Equals, int64(1))
 }
--- a/entry/internal/engine/doc.go
+++ b/entry/internal/engine/doc.go
@@ -1,5 +1,5 @@
-// Package engine is the border to the targets: model engines and plain services.
+// Package engine calls targets: model engines and plain services.
 //
-// Client and Caller are the interfaces that the rest of the instance uses;
-// the HTTP types speak the published protocols over net/http.
+// Client and Caller are the interfaces that the rest of the instance uses.
+// HTTP and HTTPCaller implement them over net/http.
 package engine
--- a/entry/internal/engine/http.go
+++ b/entry/internal/engine/http.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	dialTimeout   = 400 * time.Millisecond // dialTimeout bounds the wait for a connection to a target.
-	maxReport     = 4 << 20                // maxReport bounds an engine's report, in bytes.
-	idlePerTarget = 64                     // idlePerTarget bounds the connections kept open to one target.
-	keepAlive     = 5 * time.Second
+	dialTimeout      = 400 * time.Millisecond
+	maxReportBytes   = 4 << 20
+	maxIdlePerTarget = 64 // maxIdlePerTarget bounds the idle connections to one target.
+	keepAlivePeriod  = 5 * time.Second
 )
 
-// HTTP speaks the engines' protocol over net/http.
+// HTTP is a Client that uses the engines' HTTP protocol.
 type HTTP struct {
-	pooled  *http.Transport
-	fresh   *http.Transport
-	reports *http.Transport // reports carries load and cache events, apart so that their bytes are counted.
+	pooledTransport *http.Transport
+	freshTransport  *http.Transport // freshTransport uses a new connection for each request.
+	reportTransport *http.Transport // reportTransport reads loads and cache events and counts their bytes.
 }
 
 var _ Client = (*HTTP)(nil)
 
-// startBody is the encoding of a Request.
+// startBody is the JSON encoding of a Request.
 type startBody struct {
 	ID        string   `json:"id"`
 	Model     string   `json:"model"`
@@ -47,39 +47,39 @@
 	Priority  int      `json:"priority"`
 }
 
-// tokenBody is the encoding of a Token.
+// tokenBody is the JSON encoding of a Token.
 type tokenBody struct {
 	Offset int    `json:"offset"`
 	Text   string `json:"text"`
 }
 
-// NewHTTP returns a client over TCP with counters in the set.
+// NewHTTP returns a client that connects over TCP and registers its metrics in the set.
 func NewHTTP(set *metrics.Set) *HTTP {
-	dial := (&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}).DialContext
-	counted := meter.Counted(dial, set.GetOrCreateCounter("bramleywharf_target_report_bytes_total"))
+	dial := (&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}).DialContext
+	countedDial := meter.Counted(dial, set.GetOrCreateCounter("bramleywharf_target_report_bytes_total"))
 	return &HTTP{
-		pooled:  &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerTarget, DisableCompression: true},
-		fresh:   &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
-		reports: &http.Transport{DialContext: counted, MaxIdleConnsPerHost: idlePerTarget, DisableCompression: true},
+		pooledTransport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePerTarget, DisableCompression: true},
+		freshTransport:  &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
+		reportTransport: &http.Transport{DialContext: countedDial, MaxIdleConnsPerHost: maxIdlePerTarget, DisableCompression: true},
 	}
 }
 
-// Attach streams a running generation from an offset on.
+// Attach streams a running generation from an offset, over a new connection, until it ends.
 func (h *HTTP) Attach(ctx context.Context, address, id string, from int, emit func(Event)) error {
 	path := generationPath(id) + "/events?from=" + strconv.Itoa(from)
-	return h.stream(ctx, h.fresh, http.MethodGet, address, path, nil, emit)
+	return h.stream(ctx, h.freshTransport, http.MethodGet, address, path, nil, emit)
 }
 
 // CacheEvents returns the cache events after a sequence number.
 func (h *HTTP) CacheEvents(ctx context.Context, address string, after int) ([]CacheEvent, error) {
 	var events []CacheEvent
-	err := h.read(ctx, h.reports, address, "/v1/cache-events?after="+strconv.Itoa(after), &events)
+	err := h.getJSON(ctx, h.reportTransport, address, "/v1/cache-events?after="+strconv.Itoa(after), &events)
 	return events, err
 }
 
 // Cancel stops a generation.
 func (h *HTTP) Cancel(ctx context.Context, address, id string) error {
-	response, err := h.send(ctx, h.fresh, http.MethodDelete, address, generationPath(id), nil)
+	response, err := h.send(ctx, h.freshTransport, http.MethodDelete, address, generationPath(id), nil)
 	if err != nil {
 		return err
 	}
@@ -89,25 +89,25 @@
 
 // Close closes idle connections.
 func (h *HTTP) Close() {
-	h.pooled.CloseIdleConnections()
-	h.fresh.CloseIdleConnections()
-	h.reports.CloseIdleConnections()
+	h.pooledTransport.CloseIdleConnections()
+	h.freshTransport.CloseIdleConnections()
+	h.reportTransport.CloseIdleConnections()
 }
 
 // Load returns the engine's report.
 func (h *HTTP) Load(ctx context.Context, address string) (Load, error) {
-	var l Load
-	err := h.read(ctx, h.reports, address, "/v1/load", &l)
-	return l, err
+	var load Load
+	err := h.getJSON(ctx, h.reportTransport, address, "/v1/load", &load)
+	return load, err
 }
 
-// Order tells an engine what to hold.
+// Order tells an engine what to load.
 func (h *HTTP) Order(ctx context.Context, address string, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return fmt.Errorf("encode order: %w", err)
 	}
-	response, err := h.send(ctx, h.fresh, http.MethodPost, address, "/v1/orders", body)
+	response, err := h.send(ctx, h.freshTransport, http.MethodPost, address, "/v1/orders", body)
 	if err != nil {
 		return err
 	}
@@ -115,13 +115,13 @@
 	return nil
 }
 
-// Probe asks over a fresh connection whether the engine knows a generation.
+// Probe checks over a new connection whether the engine knows a generation.
 func (h *HTTP) Probe(ctx context.Context, address, id string) error {
 	var state map[string]any
-	return h.read(ctx, h.fresh, address, generationPath(id), &state)
+	return h.getJSON(ctx, h.freshTransport, address, generationPath(id), &state)
 }
 
-// Start begins a generation and streams it.
+// Start starts a generation and streams it until it ends.
 func (h *HTTP) Start(ctx context.Context, address string, r Request, emit func(Event)) error {
 	body, err := json.Marshal(startBody{
 		ID:        r.ID,
@@ -137,43 +137,43 @@
 	if err != nil {
 		return fmt.Errorf("encode generation: %w", err)
 	}
-	return h.stream(ctx, h.pooled, http.MethodPost, address, "/v1/generations", body, emit)
+	return h.stream(ctx, h.pooledTransport, http.MethodPost, address, "/v1/generations", body, emit)
 }
 
-// read decodes the answer to a GET.
-func (h *HTTP) read(ctx context.Context, t *http.Transport, address, path string, into any) error {
-	response, err := h.send(ctx, t, http.MethodGet, address, path, nil)
+// getJSON sends a GET request and decodes the response into result.
+func (h *HTTP) getJSON(ctx context.Context, transport *http.Transport, address, path string, result any) error {
+	response, err := h.send(ctx, transport, http.MethodGet, address, path, nil)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxReport)).Decode(into); err != nil {
-		return fmt.Errorf("%w: read report: %w", ErrSevered, err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(result); err != nil {
+		return fmt.Errorf("%w: decode response: %w", ErrSevered, err)
 	}
 	return nil
 }
 
-// send sends a request and returns an answer whose status is a success.
-func (h *HTTP) send(ctx context.Context, t *http.Transport, method, address, path string, body []byte) (*http.Response, error) {
+// send sends a request and returns the response if its status is a success.
+func (h *HTTP) send(ctx context.Context, transport *http.Transport, method, address, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("build engine request: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := t.RoundTrip(request)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSevered, err)
 	}
-	if failure := statusError(response.StatusCode); failure != nil {
+	if statusErr := statusError(response.StatusCode); statusErr != nil {
 		_ = response.Body.Close()
-		return nil, fmt.Errorf("engine answered %s: %w", response.Status, failure)
+		return nil, fmt.Errorf("engine answered %s: %w", response.Status, statusErr)
 	}
 	return response, nil
 }
 
-// stream sends a request and emits the events of its answer.
-func (h *HTTP) stream(ctx context.Context, t *http.Transport, method, address, path string, body []byte, emit func(Event)) error {
-	response, err := h.send(ctx, t, method, address, path, body)
+// stream sends a request and emits the events of the response.
+func (h *HTTP) stream(ctx context.Context, transport *http.Transport, method, address, path string, body []byte, emit func(Event)) error {
+	response, err := h.send(ctx, transport, method, address, path, body)
 	if err != nil {
 		return err
 	}
@@ -192,15 +192,15 @@
 		}
 		emit(Token{Token: flow.Token{Offset: token.Offset, Text: token.Text}})
 	}
-	return fmt.Errorf("stream closed before its end: %w", ErrSevered)
+	return fmt.Errorf("stream closed without an end event: %w", ErrSevered)
 }
 
-// generationPath returns the path of a generation at an engine.
+// generationPath returns the URL path of a generation at an engine.
 func generationPath(id string) string {
 	return "/v1/generations/" + url.PathEscape(id)
 }
 
-// statusError returns the error that an engine's status stands for, or nil.
+// statusError returns the error for an engine's response status, or nil for a success.
 func statusError(status int) error {
 	switch {
 	case status < http.StatusMultipleChoices:
--- a/entry/internal/engine/http_test.go
+++ b/entry/internal/engine/http_test.go
@@ -11,14 +11,14 @@
 	"github.com/frankban/quicktest"
 )
 
-// counted counts the connections that a listener accepts.
-type counted struct {
+// countingListener counts the connections it accepts.
+type countingListener struct {
 	net.Listener
 	accepted atomic.Int64
 }
 
-// Accept accepts and counts.
-func (l *counted) Accept() (net.Conn, error) {
+// Accept accepts a connection and counts it.
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.accepted.Add(1)
@@ -26,21 +26,21 @@
 	return conn, err
 }
 
-// TestReportsShareAConnection checks that asking for reports again and again opens no connection each time.
+// TestReportsShareAConnection checks that repeated requests for loads and cache events reuse one connection.
 func TestReportsShareAConnection(t *testing.T) {
 	c := quicktest.New(t)
 	server := httptest.NewUnstartedServer(engine.New(engine.Settings{Slots: 1}))
-	l := &counted{Listener: server.Listener}
-	server.Listener = l
+	listener := &countingListener{Listener: server.Listener}
+	server.Listener = listener
 	server.Start()
 	defer server.Close()
 	client := NewHTTP(metrics.NewSet())
 	defer client.Close()
 	for range 20 {
-		_, err := client.Load(t.Context(), l.Addr().String())
+		_, err := client.Load(t.Context(), listener.Addr().String())
 		c.Assert(err, quicktest.IsNil)
-		_, err = client.CacheEvents(t.Context(), l.Addr().String(), 0)
+		_, err = client.CacheEvents(t.Context(), listener.Addr().String(), 0)
 		c.Assert(err, quicktest.IsNil)
 	}
-	c.Assert(l.accepted.Load(), quicktest.Equals, int64(1))
+	c.Assert(listener.accepted.Load(), quicktest.Equals, int64(1))
 }
