--- a/entry/internal/gate/doc.go
+++ b/entry/internal/gate/doc.go
@@ -1,6 +1,7 @@
-// Package gate is the controller of engine capacity.
+// Package gate admits generations to engines.
 //
-// Its wanted state is that free slots of the watched engines go to waiting
-// generations by the voted shares. A generation passes at once while there is
-// room and nobody waits; calls of plain services never come here.
+// A generation is admitted at once while an engine has a free slot and the
+// queue is empty. Otherwise it waits, and a controller assigns free slots of
+// the watched engines to waiting generations by the shares of their
+// organisations. Calls to plain services are not queued.
 package gate
--- a/entry/internal/gate/gate.go
+++ b/entry/internal/gate/gate.go
@@ -13,121 +13,122 @@
 )
 
 const (
-	lookPeriod = 50 * time.Millisecond // lookPeriod is the time between two looks at the engines while somebody waits.
+	dispatchInterval = 50 * time.Millisecond
 	// WaitBound is the longest that a generation waits for an engine.
-	WaitBound = 20 * time.Second
-	rateAfter = 5 * time.Second // rateAfter is how long generations must have waited without a break before the rate of service is judged.
+	WaitBound     = 20 * time.Second
+	minRateWindow = 5 * time.Second // minRateWindow is how long the queue must be busy before serviceRate is estimated.
 )
 
-// Capacity tells how much room the watched engines have.
+// Capacity tells how many generations the watched engines can take.
 type Capacity interface {
-	// Free returns the free slots for a model by this instance's knowledge.
+	// Free returns the number of free slots for a model, as far as this instance knows.
 	Free(model string) int
 }
 
-// Gate lets generations pass to the engines; a closed one lets nobody pass any more.
+// Gate queues generations until an engine has a free slot; closing it refuses those that wait.
 type Gate struct {
 	*wait.Loop
-	capacity Capacity
-	queue    *cell.Cell[fair.Queue]
-	waiting  sync.Map     // waiting holds the channel of each ticket, which says once whether it may pass.
-	granted  sync.Map     // granted holds an *atomic.Int64 for each model: generations let through that hold no engine yet.
-	rate     atomic.Int64 // rate is the rate of service in tickets per 1000 seconds, or 0 while it is not known.
-	busy     time.Time    // busy is since when somebody has waited without a break; owned by the loop.
-	served   int          // served counts those let through since busy; owned by the loop.
-	shed     *metrics.Counter
-	queued   *metrics.Histogram
+	capacity          Capacity
+	queue             *cell.Cell[fair.Queue]
+	waiters           sync.Map     // waiters maps a ticket's id to a channel that receives once whether it is admitted.
+	pendingByModel    sync.Map     // pendingByModel maps a model to an *atomic.Int64, see pendingCount.
+	serviceRate       atomic.Int64 // serviceRate is the admissions per 1000 seconds, or 0 while it is not known.
+	busySince         time.Time    // busySince is when the queue stopped being empty, or zero; only the loop uses it.
+	admittedSinceBusy int          // admittedSinceBusy counts admissions since then; only the loop uses it.
+	shedTotal         *metrics.Counter
+	queueSeconds      *metrics.Histogram
 }
 
-// New returns a gate before the engines.
+// New returns a gate that admits generations up to the capacity and registers its metrics in the set.
 func New(capacity Capacity, set *metrics.Set) *Gate {
 	g := &Gate{
-		capacity: capacity,
-		queue:    cell.New(fair.Queue{}),
-		shed:     set.GetOrCreateCounter("bramleywharf_queue_shed_total"),
-		queued:   set.GetOrCreateHistogram("bramleywharf_queue_seconds"),
+		capacity:     capacity,
+		queue:        cell.New(fair.Queue{}),
+		shedTotal:    set.GetOrCreateCounter("bramleywharf_queue_shed_total"),
+		queueSeconds: set.GetOrCreateHistogram("bramleywharf_queue_seconds"),
 	}
 	set.NewGauge("bramleywharf_queue_length", func() float64 { return float64(g.queue.Load().Len()) })
 	g.Loop = wait.Start(g.loop)
 	return g
 }
 
-// Enter waits until an engine has room for a generation of an organisation; the error wraps fair.ErrFull or fair.ErrLate.
+// Enter waits until an engine has a free slot for a generation of an organisation. The caller must call entered once
+// the generation holds a target. The error is fair.ErrFull, fair.ErrLate or that of the context.
 func (g *Gate) Enter(ctx context.Context, organisation, model string, share float64) (entered func(), err error) {
-	if g.queue.Load().Len() == 0 && g.room(model) > 0 {
-		return g.pass(model), nil
+	if g.queue.Load().Len() == 0 && g.availableSlots(model) > 0 {
+		return g.admit(model), nil
 	}
-	began := time.Now()
-	ticket, passed, err := g.enqueue(organisation, model, share, began.Add(WaitBound))
+	enqueuedAt := time.Now()
+	ticket, admitted, err := g.enqueue(organisation, model, share, enqueuedAt.Add(WaitBound))
 	if err != nil {
-		g.shed.Inc()
+		g.shedTotal.Inc()
 		return nil, err
 	}
-	defer g.waiting.Delete(ticket.ID)
+	defer g.waiters.Delete(ticket.ID)
 	select {
-	case ok := <-passed:
+	case ok := <-admitted:
 		if ok {
-			g.queued.Update(time.Since(began).Seconds())
-			return g.leave(model), nil
+			g.queueSeconds.Update(time.Since(enqueuedAt).Seconds())
+			return g.enteredFunc(model), nil
 		}
 		err = fair.ErrLate
 	case <-ctx.Done():
-		g.withdraw(ticket, passed)
+		g.withdraw(ticket, admitted)
 		err = ctx.Err()
 	case <-g.Done():
 		err = fair.ErrLate
 	}
-	g.shed.Inc()
+	g.shedTotal.Inc()
 	return nil, err
 }
 
-// enqueue adds a ticket, unless it would surely wait beyond its deadline.
-func (g *Gate) enqueue(organisation, model string, share float64, deadline time.Time) (ticket fair.Ticket, passed chan bool, err error) {
-	passed = make(chan bool, 1)
-	rate := float64(g.rate.Load()) / 1000
+// enqueue adds a ticket to the queue, unless its estimated wait goes beyond the deadline.
+func (g *Gate) enqueue(organisation, model string, share float64, deadline time.Time) (ticket fair.Ticket, admitted chan bool, err error) {
+	admitted = make(chan bool, 1)
+	serviceRate := float64(g.serviceRate.Load()) / 1000
 	g.queue.Update(func(q fair.Queue) fair.Queue {
-		if rate > 0 && q.Wait(organisation, share, rate) > time.Until(deadline) {
+		if serviceRate > 0 && q.Wait(organisation, share, serviceRate) > time.Until(deadline) {
 			err = fair.ErrLate
 			return q
 		}
 		q, ticket, err = q.WithTicket(organisation, model, share, deadline)
 		if err == nil {
-			g.waiting.Store(ticket.ID, passed)
+			g.waiters.Store(ticket.ID, admitted)
 		}
 		return q
 	})
-	return ticket, passed, err
+	return ticket, admitted, err
 }
 
-// leave returns what a generation calls that was let through, once it holds an engine.
-func (g *Gate) leave(model string) func() {
+// enteredFunc returns the function to call once an admitted generation holds a target; further calls do nothing.
+func (g *Gate) enteredFunc(model string) func() {
 	var once sync.Once
-	return func() { once.Do(func() { g.counter(model).Add(-1) }) }
+	return func() { once.Do(func() { g.pendingCount(model).Add(-1) }) }
 }
 
-// loop lets waiting generations pass while engines have room.
+// loop dispatches waiting generations until the context ends.
 func (g *Gate) loop(ctx context.Context) {
-	tick := time.NewTicker(lookPeriod)
+	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			g.look()
+			g.dispatch()
 		}
 	}
 }
 
-// look lets as many pass as there is room for.
-func (g *Gate) look() {
+// dispatch refuses expired tickets and admits as many others as there are free slots.
+func (g *Gate) dispatch() {
 	if g.queue.Load().Len() == 0 {
-		g.busy, g.served = time.Time{}, 0
-		g.rate.Store(0)
+		g.busySince, g.admittedSinceBusy = time.Time{}, 0
+		g.serviceRate.Store(0)
 		return
 	}
-	if g.busy.IsZero() {
-		g.busy = time.Now()
+	if g.busySince.IsZero() {
+		g.busySince = time.Now()
 	}
 	var expired []fair.Ticket
 	g.queue.Update(func(q fair.Queue) fair.Queue {
@@ -135,74 +136,74 @@
 		return q
 	})
 	for _, t := range expired {
-		g.tell(t, false)
+		g.notify(t, false)
 	}
-	for g.letOne() {
-		g.served++
+	for g.admitNext() {
+		g.admittedSinceBusy++
 	}
-	g.judge()
+	g.updateRate()
 }
 
-// judge works out the rate of service of the time in which somebody has waited.
-func (g *Gate) judge() {
-	elapsed := time.Since(g.busy)
-	if elapsed < rateAfter {
+// updateRate estimates the service rate over the time since the queue stopped being empty.
+func (g *Gate) updateRate() {
+	elapsed := time.Since(g.busySince)
+	if elapsed < minRateWindow {
 		return
 	}
-	g.rate.Store(int64(float64(max(g.served, 1)) / elapsed.Seconds() * 1000))
+	g.serviceRate.Store(int64(float64(max(g.admittedSinceBusy, 1)) / elapsed.Seconds() * 1000))
 }
 
-// letOne lets the next generation pass that an engine has room for.
-func (g *Gate) letOne() bool {
+// admitNext admits the next generation for whose model there is a free slot, and tells whether there was one.
+func (g *Gate) admitNext() bool {
 	var ticket fair.Ticket
 	var ok bool
 	g.queue.Update(func(q fair.Queue) fair.Queue {
-		q, ticket, ok = q.WithoutFirst(func(model string) bool { return g.room(model) > 0 })
+		q, ticket, ok = q.WithoutFirst(func(model string) bool { return g.availableSlots(model) > 0 })
 		return q
 	})
 	if !ok {
 		return false
 	}
-	g.counter(ticket.Model).Add(1)
-	g.tell(ticket, true)
+	g.pendingCount(ticket.Model).Add(1)
+	g.notify(ticket, true)
 	return true
 }
 
-// counter returns the count of a model's generations that were let through and hold no engine yet.
-func (g *Gate) counter(model string) *atomic.Int64 {
-	c, ok := g.granted.Load(model)
+// pendingCount returns the counter of a model's generations that are admitted but hold no target yet.
+func (g *Gate) pendingCount(model string) *atomic.Int64 {
+	c, ok := g.pendingByModel.Load(model)
 	if !ok {
-		c, _ = g.granted.LoadOrStore(model, new(atomic.Int64))
+		c, _ = g.pendingByModel.LoadOrStore(model, new(atomic.Int64))
 	}
 	return c.(*atomic.Int64)
 }
 
-// pass lets a generation through that found room.
-func (g *Gate) pass(model string) func() {
-	g.counter(model).Add(1)
-	return g.leave(model)
+// admit admits a generation without queueing and returns its entered function.
+func (g *Gate) admit(model string) func() {
+	g.pendingCount(model).Add(1)
+	return g.enteredFunc(model)
 }
 
-// room returns the free slots of a model that nobody was let through to.
-func (g *Gate) room(model string) int {
-	return g.capacity.Free(model) - int(g.counter(model).Load())
+// availableSlots returns the free slots for a model that no pending generation will take.
+func (g *Gate) availableSlots(model string) int {
+	return g.capacity.Free(model) - int(g.pendingCount(model).Load())
 }
 
-// tell tells a waiting generation whether it may pass.
-func (g *Gate) tell(t fair.Ticket, ok bool) {
-	if passed, waits := g.waiting.Load(t.ID); waits {
-		passed.(chan bool) <- ok
+// notify tells a waiting generation whether it is admitted.
+func (g *Gate) notify(t fair.Ticket, ok bool) {
+	if admitted, isWaiting := g.waiters.Load(t.ID); isWaiting {
+		admitted.(chan bool) <- ok
 	}
 }
 
-// withdraw gives up a ticket, or the passage that it was told of meanwhile.
-func (g *Gate) withdraw(t fair.Ticket, passed <-chan bool) {
-	found := false
+// withdraw removes a ticket from the queue, or gives its slot back if it was admitted meanwhile.
+func (g *Gate) withdraw(t fair.Ticket, admitted <-chan bool) {
+	queued := false
 	g.queue.Update(func(q fair.Queue) fair.Queue {
-		q, found = q.WithoutTicket(t.ID)
+		q, queued = q.WithoutTicket(t.ID)
 		return q
 	})
-	if !found && <-passed {
-		g.leave(t.Model)()
+	if !queued && <-admitted {
+		g.enteredFunc(t.Model)()
 	}
 }
--- a/entry/internal/gate/gate_test.go
+++ b/entry/internal/gate/gate_test.go
@@ -14,52 +14,52 @@
 	"github.com/pkg/errors"
 )
 
-// slots is a capacity of some slots.
-type slots struct {
-	size, used atomic.Int64
+// fakeCapacity is a Capacity with a settable number of slots.
+type fakeCapacity struct {
+	slots, inUse atomic.Int64
 }
 
-// Free returns the slots not used.
-func (s *slots) Free(string) int {
-	return int(s.size.Load() - s.used.Load())
+// Free returns the number of unused slots for any model.
+func (s *fakeCapacity) Free(string) int {
+	return int(s.slots.Load() - s.inUse.Load())
 }
 
-// serve runs a caller of an organisation that always has another generation, and counts those served.
-func serve(ctx context.Context, g *Gate, s *slots, organisation string, share float64, served *atomic.Int64) {
+// runCaller runs one generation of an organisation after another and counts those served.
+func runCaller(ctx context.Context, g *Gate, capacity *fakeCapacity, organisation string, share float64, served *atomic.Int64) {
 	for ctx.Err() == nil {
 		entered, err := g.Enter(ctx, organisation, "m", share)
 		if err != nil {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		s.used.Add(1)
+		capacity.inUse.Add(1)
 		entered()
 		time.Sleep(time.Second)
-		s.used.Add(-1)
+		capacity.inUse.Add(-1)
 		served.Add(1)
 	}
 }
 
-// TestFairness lets organisations with uneven demand compete for few slots and compares what they got with their shares.
+// TestFairness checks that organisations with uneven demand for few slots are served by their shares.
 func TestFairness(t *testing.T) {
 	cases := map[string]struct {
-		callers map[string]int // callers is the number of callers of each organisation.
-		shares  map[string]float64
-		want    map[string]float64
+		callers      map[string]int // callers maps an organisation to its number of callers.
+		shares       map[string]float64
+		wantFraction map[string]float64
 	}{
-		"by-share-whatever-the-demand": {callers: map[string]int{"a": 20, "b": 60}, shares: map[string]float64{"a": 75, "b": 25}, want: map[string]float64{"a": 0.75, "b": 0.25}},
-		"even":                         {callers: map[string]int{"a": 100, "b": 20}, shares: map[string]float64{"a": 50, "b": 50}, want: map[string]float64{"a": 0.5, "b": 0.5}},
-		"unused-share-is-lent":         {callers: map[string]int{"a": 1, "b": 40}, shares: map[string]float64{"a": 75, "b": 25}, want: map[string]float64{"b": 0.88}},
+		"shares-differ":        {callers: map[string]int{"a": 20, "b": 60}, shares: map[string]float64{"a": 75, "b": 25}, wantFraction: map[string]float64{"a": 0.75, "b": 0.25}},
+		"equal-shares":         {callers: map[string]int{"a": 100, "b": 20}, shares: map[string]float64{"a": 50, "b": 50}, wantFraction: map[string]float64{"a": 0.5, "b": 0.5}},
+		"unused-share-is-lent": {callers: map[string]int{"a": 1, "b": 40}, shares: map[string]float64{"a": 75, "b": 25}, wantFraction: map[string]float64{"b": 0.88}},
 	}
-	const bound = 0.05
+	const tolerance = 0.05
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				time.Sleep(time.Nanosecond)
-				s := &slots{}
-				s.size.Store(8)
-				g := New(s, metrics.NewSet())
+				capacity := &fakeCapacity{}
+				capacity.slots.Store(8)
+				g := New(capacity, metrics.NewSet())
 				ctx, stop := context.WithTimeout(t.Context(), 200*time.Second)
 				defer stop()
 				var group sync.WaitGroup
@@ -68,7 +68,7 @@
 					count := new(atomic.Int64)
 					served[organisation] = count
 					for range callers {
-						group.Go(func() { serve(ctx, g, s, organisation, test.shares[organisation], count) })
+						group.Go(func() { runCaller(ctx, g, capacity, organisation, test.shares[organisation], count) })
 					}
 				}
 				group.Wait()
@@ -77,54 +77,54 @@
 				for _, n := range served {
 					total += float64(n.Load())
 				}
-				for organisation, want := range test.want {
+				for organisation, wantFraction := range test.wantFraction {
 					got := float64(served[organisation].Load()) / total
-					c.Assert(got > want-bound && got < want+bound, quicktest.IsTrue, quicktest.Commentf("%s got %.3f of %.3f", organisation, got, want))
+					c.Assert(got > wantFraction-tolerance && got < wantFraction+tolerance, quicktest.IsTrue, quicktest.Commentf("%s got %.3f of %.3f", organisation, got, wantFraction))
 				}
-				c.Assert(s.used.Load(), quicktest.Equals, int64(0))
+				c.Assert(capacity.inUse.Load(), quicktest.Equals, int64(0))
 			})
 		})
 	}
 }
 
-// TestEnter checks what a generation meets when engines are full.
+// TestEnter checks how long a generation waits and with which result, depending on when a slot is free.
 func TestEnter(t *testing.T) {
 	cases := map[string]struct {
-		free    int64
-		opens   time.Duration // opens is when a slot gets free, or 0 for never.
-		gives   time.Duration // gives is when the caller gives up, or 0 for never.
-		want    error
-		atLeast time.Duration
-		atMost  time.Duration
+		freeSlots    int64
+		opensAfter   time.Duration // opensAfter is when a slot becomes free, or 0 for never.
+		givesUpAfter time.Duration // givesUpAfter is when the caller gives up, or 0 for never.
+		wantErr      error
+		minWait      time.Duration
+		maxWait      time.Duration
 	}{
-		"room":        {free: 1, atMost: 0},
-		"soon":        {opens: time.Second, atLeast: time.Second, atMost: time.Second + 2*lookPeriod},
-		"never":       {want: fair.ErrLate, atLeast: WaitBound, atMost: WaitBound + 2*lookPeriod},
-		"caller-gone": {gives: time.Second, want: context.DeadlineExceeded, atLeast: time.Second, atMost: time.Second},
+		"free-slot":         {freeSlots: 1, maxWait: 0},
+		"slot-becomes-free": {opensAfter: time.Second, minWait: time.Second, maxWait: time.Second + 2*dispatchInterval},
+		"no-free-slot":      {wantErr: fair.ErrLate, minWait: WaitBound, maxWait: WaitBound + 2*dispatchInterval},
+		"caller-gives-up":   {givesUpAfter: time.Second, wantErr: context.DeadlineExceeded, minWait: time.Second, maxWait: time.Second},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				time.Sleep(time.Nanosecond)
-				s := &slots{}
-				s.size.Store(test.free)
-				if test.opens > 0 {
-					time.AfterFunc(test.opens, func() { s.size.Store(1) })
+				capacity := &fakeCapacity{}
+				capacity.slots.Store(test.freeSlots)
+				if test.opensAfter > 0 {
+					time.AfterFunc(test.opensAfter, func() { capacity.slots.Store(1) })
 				}
-				g := New(s, metrics.NewSet())
+				g := New(capacity, metrics.NewSet())
 				defer g.Close()
 				ctx := t.Context()
-				if test.gives > 0 {
+				if test.givesUpAfter > 0 {
 					var cancel context.CancelFunc
-					ctx, cancel = context.WithTimeout(ctx, test.gives)
+					ctx, cancel = context.WithTimeout(ctx, test.givesUpAfter)
 					defer cancel()
 				}
 				began := time.Now()
 				_, err := g.Enter(ctx, "a", "m", 1)
-				took := time.Since(began)
-				c.Assert(errors.Is(err, test.want), quicktest.IsTrue, quicktest.Commentf("%v", err))
-				c.Assert(took >= test.atLeast && took <= test.atMost, quicktest.IsTrue, quicktest.Commentf("%s", took))
+				waited := time.Since(began)
+				c.Assert(errors.Is(err, test.wantErr), quicktest.IsTrue, quicktest.Commentf("%v", err))
+				c.Assert(waited >= test.minWait && waited <= test.maxWait, quicktest.IsTrue, quicktest.Commentf("%s", waited))
 			})
 		})
 	}
