--- a/entry/internal/pool/cache.go
+++ b/entry/internal/pool/cache.go
@@ -7,71 +7,71 @@
 )
 
 const (
-	prefixWords = 16   // prefixWords is the length of the prompt prefix that caches go by, in words.
-	gapDoubt    = 0.5  // gapDoubt is what a gap in the events leaves of each belief.
-	ownBelief   = 0.8  // ownBelief is the belief in a prefix that was routed there and not confirmed.
-	maxBeliefs  = 1024 // maxBeliefs bounds the prefixes remembered for one target.
+	prefixWords       = 16   // prefixWords is the length of the prompt prefix that identifies cache entries.
+	gapFactor         = 0.5  // gapFactor scales all probabilities when cache events were missed.
+	routedProbability = 0.8  // routedProbability is for a prefix that was sent to the target, but not yet reported by it.
+	maxPrefixes       = 1024 // maxPrefixes bounds the prefixes kept when an estimate is copied.
 )
 
-// cache is what is believed of one target's prompt cache; its values are never changed after construction.
-type cache struct {
-	sequence int // sequence is that of the last event taken.
-	beliefs  map[string]float64
+// cacheEstimate estimates which prompt prefixes a target has cached; it is immutable.
+type cacheEstimate struct {
+	lastSequence  int                // lastSequence is the sequence number of the last event applied.
+	probabilities map[string]float64 // probabilities maps a prefix to the probability that it is cached.
 }
 
-// Prefix returns the part of a prompt that caches go by.
+// Prefix returns the part of a prompt that identifies its cache entry.
 func Prefix(prompt string) string {
 	fields := strings.Fields(prompt)
 	return strings.Join(fields[:min(len(fields), prefixWords)], " ")
 }
 
-// belief returns how sure it is that a prefix is cached, from 0 to 1.
-func (c cache) belief(prefix string) float64 {
-	return c.beliefs[prefix]
+// probability returns the estimated probability that a prefix is cached.
+func (c cacheEstimate) probability(prefix string) float64 {
+	return c.probabilities[prefix]
 }
 
-// copied returns the beliefs for change, weakened by a factor.
-func (c cache) copied(factor float64) map[string]float64 {
-	beliefs := make(map[string]float64, len(c.beliefs)+1)
-	for prefix, belief := range c.beliefs {
-		if len(beliefs) >= maxBeliefs {
+// scaledProbabilities returns a copy of the probabilities, multiplied by a factor.
+func (c cacheEstimate) scaledProbabilities(factor float64) map[string]float64 {
+	probabilities := make(map[string]float64, len(c.probabilities)+1)
+	for prefix, probability := range c.probabilities {
+		if len(probabilities) >= maxPrefixes {
 			break
 		}
-		beliefs[prefix] = belief * factor
+		probabilities[prefix] = probability * factor
 	}
-	return beliefs
+	return probabilities
 }
 
-// withEvents returns the cache after late events, which may have gaps.
-func (c cache) withEvents(events []engine.CacheEvent) cache {
+// withEvents returns the estimate after cache events; older events are ignored and some may be missing.
+func (c cacheEstimate) withEvents(events []engine.CacheEvent) cacheEstimate {
 	if len(events) == 0 {
 		return c
 	}
 	factor := 1.0
-	if events[0].Sequence > c.sequence+1 && c.sequence > 0 {
-		factor = gapDoubt
+	if events[0].Sequence > c.lastSequence+1 && c.lastSequence > 0 {
+		factor = gapFactor
 	}
-	next := cache{sequence: c.sequence, beliefs: c.copied(factor)}
+	next := cacheEstimate{lastSequence: c.lastSequence, probabilities: c.scaledProbabilities(factor)}
 	for _, e := range events {
-		if e.Sequence <= next.sequence {
+		if e.Sequence <= next.lastSequence {
 			continue
 		}
-		next.sequence = e.Sequence
+		next.lastSequence = e.Sequence
 		if e.Added {
-			next.beliefs[e.Prefix] = 1
+			next.probabilities[e.Prefix] = 1
 		} else {
-			delete(next.beliefs, e.Prefix)
+			delete(next.probabilities, e.Prefix)
 		}
 	}
 	return next
 }
 
-// withRouted returns the cache after a request with a prefix was sent to its target.
-func (c cache) withRouted(prefix string) cache {
-	if c.beliefs[prefix] >= ownBelief {
+// withRouted returns the estimate after a request with a prefix was sent to the target.
+func (c cacheEstimate) withRouted(prefix string) cacheEstimate {
+	if c.probabilities[prefix] >= routedProbability {
 		return c
 	}
-	next := cache{sequence: c.sequence, beliefs: c.copied(1)}
-	next.beliefs[prefix] = ownBelief
+	next := cacheEstimate{lastSequence: c.lastSequence, probabilities: c.scaledProbabilities(1)}
+	next.probabilities[prefix] = routedProbability
 	return next
 }
--- a/entry/internal/pool/doc.go
+++ b/entry/internal/pool/doc.go
@@ -1,6 +1,6 @@
-// Package pool is the controller of targets.
+// Package pool watches targets and chooses one for each request.
 //
-// Its wanted state is a table of the targets that this instance watches: a
-// stable subset of those declared, with their load, their health and a belief
-// about their caches. Requests read the table without locks.
+// Its controller keeps a table of the targets that this instance watches: a
+// stable subset of the declared ones, with their load, health and an estimate
+// of their prompt caches. Requests read the table without locks.
 package pool
--- a/entry/internal/pool/pool.go
+++ b/entry/internal/pool/pool.go
@@ -18,50 +18,52 @@
 )
 
 const (
-	reconcilePeriod = 250 * time.Millisecond  // reconcilePeriod is the time between two looks at the configuration.
-	pollPeriod      = 1500 * time.Millisecond // pollPeriod is the time between two reports of one target.
-	pollTimeout     = time.Second
-	cacheEvery      = 4 // cacheEvery is the number of reports for each reading of cache events.
-	leastSubset     = 3 // leastSubset is the number of engines watched for a model at the least, so that two may be lost.
-	failsToSuspect  = 2 // failsToSuspect is the number of missed reports that make a target suspect.
+	reconcileInterval  = 250 * time.Millisecond
+	pollInterval       = 1500 * time.Millisecond // pollInterval is the interval between polls of one target.
+	pollTimeout        = time.Second
+	pollsPerCacheRead  = 4 // pollsPerCacheRead is the number of polls of which one reads cache events too.
+	minTargetsPerModel = 3 // minTargetsPerModel allows two targets to fail.
+	missesToSuspect    = 2 // missesToSuspect is the number of missed reports in a row that make a target suspect.
 )
 
-// Source gives the configuration that names the targets.
+// Source provides the configuration that declares the targets.
 type Source interface {
-	// Snapshot returns the snapshot in force, however old.
+	// Snapshot returns the current snapshot, which may be stale.
 	Snapshot() *conf.Snapshot
 }
 
 // Settings configures a pool.
 type Settings struct {
-	Self   string
-	Domain string
-	Budget int // Budget is the number of engines watched, shared evenly by the models declared.
+	Self   string // Self is this instance's name.
+	Domain string // Domain is this instance's failure domain.
+	Budget int    // Budget is the number of engines to watch, divided evenly among the models.
 }
 
-// Pool watches targets.
+// Pool watches targets and chooses among them; it is safe for concurrent use.
 type Pool struct {
 	*wait.Loop
-	settings Settings
-	source   Source
-	engines  engine.Client
-	table    *cell.Cell[table]
-	fails    *metrics.Counter
-	polled   map[string]time.Time // polled is owned by the loop.
-	polls    map[string]int       // polls is owned by the loop.
-	seen     conf.Revision        // seen is owned by the loop.
+	settings      Settings
+	source        Source
+	engines       engine.Client
+	table         *cell.Cell[table]
+	reportsMissed *metrics.Counter
+
+	// Only the loop uses these.
+	lastPolls          map[string]time.Time // lastPolls maps a target's name to the time of its last poll.
+	pollCounts         map[string]int       // pollCounts maps a target's name to the number of its polls.
+	reconciledRevision conf.Revision        // reconciledRevision is the configuration that the table follows.
 }
 
-// New returns a pool that watches the targets of a source.
+// New returns a pool that watches the targets of a source and registers its metrics in the set.
 func New(s Settings, source Source, engines engine.Client, set *metrics.Set) *Pool {
 	p := &Pool{
-		settings: s,
-		source:   source,
-		engines:  engines,
-		table:    cell.New(table{}),
-		fails:    set.GetOrCreateCounter("bramleywharf_target_reports_missed_total"),
-		polled:   make(map[string]time.Time),
-		polls:    make(map[string]int),
+		settings:      s,
+		source:        source,
+		engines:       engines,
+		table:         cell.New(table{}),
+		reportsMissed: set.GetOrCreateCounter("bramleywharf_target_reports_missed_total"),
+		lastPolls:     make(map[string]time.Time),
+		pollCounts:    make(map[string]int),
 	}
 	set.NewGauge("bramleywharf_targets_watched", func() float64 { return float64(len(p.table.Load().names)) })
 	p.Loop = wait.Start(p.loop)
@@ -70,8 +72,8 @@
 
 // Find returns a declared target by name, watched or not.
 func (p *Pool) Find(name string) (route.Candidate, bool) {
-	if e, ok := p.table.Load().entries[name]; ok {
-		return e.candidate(""), true
+	if w, ok := p.table.Load().targets[name]; ok {
+		return w.candidate(""), true
 	}
 	for _, t := range p.source.Snapshot().Targets() {
 		if t.Name == name {
@@ -81,105 +83,106 @@
 	return route.Candidate{}, false
 }
 
-// Free returns the slots of healthy engines for a model that neither their last report nor this instance's own count shows taken.
+// Free returns the free slots for a model on watched engines that are not suspect. Slots count as taken by an engine's
+// last report or by this instance's own generations, whichever are more.
 func (p *Pool) Free(model string) int {
-	free := 0
-	for _, e := range p.table.Load().entries {
-		if !e.suspect && e.serves(model) {
-			free += max(0, e.free())
+	freeSlots := 0
+	for _, w := range p.table.Load().targets {
+		if !w.isSuspect && w.acceptsModel(model) {
+			freeSlots += max(0, w.freeSlots())
 		}
 	}
-	return free
+	return freeSlots
 }
 
-// Hold counts one generation on a target until release is called.
+// Hold counts a generation on a target until release is called.
 func (p *Pool) Hold(name string) (release func()) {
-	e, ok := p.table.Load().entries[name]
+	w, ok := p.table.Load().targets[name]
 	if !ok {
 		return func() {}
 	}
-	e.own.Add(1)
-	return func() { e.own.Add(-1) }
+	w.ownGenerations.Add(1)
+	return func() { w.ownGenerations.Add(-1) }
 }
 
-// Pick chooses a target for a generation.
+// Pick chooses a watched target outside avoid for a generation; it returns false if there is none.
 func (p *Pool) Pick(spec flow.Spec, avoid map[string]bool) (route.Candidate, bool) {
 	prefix := Prefix(spec.Prompt)
 	t := p.table.Load()
 	var candidates []route.Candidate
 	for _, name := range t.names {
-		if e := t.entries[name]; e.offers(spec.Model, spec.Adapter, spec.Version) {
-			candidates = append(candidates, e.candidate(prefix))
+		if w := t.targets[name]; w.accepts(spec.Model, spec.Adapter, spec.Version) {
+			candidates = append(candidates, w.candidate(prefix))
 		}
 	}
-	at := route.Choose(route.Balanced{Domain: p.settings.Domain, Draw: rand.Uint64()}, candidates, avoid)
-	if at < 0 {
+	index := route.Choose(route.Balanced{Domain: p.settings.Domain, Draw: rand.Uint64()}, candidates, avoid)
+	if index < 0 {
 		return route.Candidate{}, false
 	}
-	chosen := candidates[at]
+	chosen := candidates[index]
 	if chosen.Warm == 0 {
-		p.change(chosen.Name, func(e entry) entry {
-			e.cache = e.cache.withRouted(prefix)
-			return e
+		p.updateTarget(chosen.Name, func(w watchedTarget) watchedTarget {
+			w.cacheEstimate = w.cacheEstimate.withRouted(prefix)
+			return w
 		})
 	}
 	return chosen, true
 }
 
-// Services returns the targets of a plain service that take new work, the best first.
+// Services returns the targets of a plain service that take new calls, those in this instance's failure domain first.
 func (p *Pool) Services(service string) []route.Candidate {
-	var open []route.Candidate
+	var candidates []route.Candidate
 	for _, t := range p.source.Snapshot().Targets() {
 		if t.Service == service && !t.Leaving {
-			open = append(open, route.Candidate{Name: t.Name, Address: t.Address, Domain: t.Domain})
+			candidates = append(candidates, route.Candidate{Name: t.Name, Address: t.Address, Domain: t.Domain})
 		}
 	}
-	slices.SortStableFunc(open, func(a, b route.Candidate) int {
-		return p.distance(a) - p.distance(b)
+	slices.SortStableFunc(candidates, func(a, b route.Candidate) int {
+		return p.domainDistance(a) - p.domainDistance(b)
 	})
-	return open
+	return candidates
 }
 
-// Suspect reports that a target failed; a report from it clears the suspicion.
+// Suspect marks a target as suspect until its next report.
 func (p *Pool) Suspect(name string) {
-	p.change(name, func(e entry) entry {
-		e.suspect = true
-		return e
+	p.updateTarget(name, func(w watchedTarget) watchedTarget {
+		w.isSuspect = true
+		return w
 	})
 }
 
-// Watched returns the watched targets, for people to look at.
+// Watched returns the watched targets, for the status page.
 func (p *Pool) Watched() []route.Candidate {
 	t := p.table.Load()
 	watched := make([]route.Candidate, 0, len(t.names))
 	for _, name := range t.names {
-		watched = append(watched, t.entries[name].candidate(""))
+		watched = append(watched, t.targets[name].candidate(""))
 	}
 	return watched
 }
 
-// change replaces one entry.
-func (p *Pool) change(name string, by func(entry) entry) {
+// updateTarget replaces the state of a target, if it is watched.
+func (p *Pool) updateTarget(name string, update func(watchedTarget) watchedTarget) {
 	p.table.Update(func(t table) table {
-		e, ok := t.entries[name]
+		w, ok := t.targets[name]
 		if !ok {
 			return t
 		}
-		return t.withEntry(by(e))
+		return t.withTarget(update(w))
 	})
 }
 
-// distance is 0 for the instance's own failure domain and 1 for others.
-func (p *Pool) distance(c route.Candidate) int {
+// domainDistance returns 0 for a candidate in this instance's failure domain and 1 for others.
+func (p *Pool) domainDistance(c route.Candidate) int {
 	if c.Domain == p.settings.Domain {
 		return 0
 	}
 	return 1
 }
 
-// loop reconciles the table with the configuration and polls what is due.
+// loop reconciles the table with the configuration and polls the targets until the context ends.
 func (p *Pool) loop(ctx context.Context) {
-	tick := time.NewTicker(reconcilePeriod)
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -194,59 +197,59 @@
 	}
 }
 
-// poll reads the report and cache events of one target.
-func (p *Pool) poll(ctx context.Context, t conf.Target, withCache bool, sequence int) {
+// poll reads the load of a target and, if asked to, its cache events after a sequence number.
+func (p *Pool) poll(ctx context.Context, t conf.Target, withCacheEvents bool, afterSequence int) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	load, err := p.engines.Load(ctx, t.Address)
 	if err != nil {
-		p.fails.Inc()
-		p.change(t.Name, entry.withMiss)
+		p.reportsMissed.Inc()
+		p.updateTarget(t.Name, watchedTarget.withMissedReport)
 		return
 	}
 	var events []engine.CacheEvent
-	if withCache {
-		events, _ = p.engines.CacheEvents(ctx, t.Address, sequence)
+	if withCacheEvents {
+		events, _ = p.engines.CacheEvents(ctx, t.Address, afterSequence)
 	}
-	p.change(t.Name, func(e entry) entry { return e.withReport(load, events) })
+	p.updateTarget(t.Name, func(w watchedTarget) watchedTarget { return w.withReport(load, events) })
 }
 
-// pollDue starts the polls whose time has come.
+// pollDue starts a poll of each target whose last poll is long enough ago.
 func (p *Pool) pollDue(ctx context.Context, group *sync.WaitGroup) {
 	now := time.Now()
 	t := p.table.Load()
 	for _, name := range t.names {
-		if _, known := p.polled[name]; !known {
-			p.polled[name] = now.Add(-rand.N(pollPeriod)) // Reports are spread over the period.
+		if _, isKnown := p.lastPolls[name]; !isKnown {
+			p.lastPolls[name] = now.Add(-rand.N(pollInterval)) // A random first delay spreads the polls.
 		}
-		if now.Sub(p.polled[name]) < pollPeriod {
+		if now.Sub(p.lastPolls[name]) < pollInterval {
 			continue
 		}
-		p.polled[name] = now
-		e := t.entries[name]
-		p.polls[name]++
-		withCache := p.polls[name]%cacheEvery == 1
-		group.Go(func() { p.poll(ctx, e.target, withCache, e.cache.sequence) })
+		p.lastPolls[name] = now
+		w := t.targets[name]
+		p.pollCounts[name]++
+		withCacheEvents := p.pollCounts[name]%pollsPerCacheRead == 1
+		group.Go(func() { p.poll(ctx, w.target, withCacheEvents, w.cacheEstimate.lastSequence) })
 	}
 }
 
-// reconcile makes the table hold the targets that this instance should watch.
+// reconcile updates the table to the targets that this instance should watch, if the configuration changed.
 func (p *Pool) reconcile() {
 	snapshot := p.source.Snapshot()
-	if snapshot.Revision() == p.seen {
+	if snapshot.Revision() == p.reconciledRevision {
 		return
 	}
-	p.seen = snapshot.Revision()
-	wanted := p.wanted(snapshot)
+	p.reconciledRevision = snapshot.Revision()
+	targetsToWatch := p.targetsToWatch(snapshot)
 	p.table.Update(func(old table) table {
-		next := table{entries: make(map[string]entry, len(wanted))}
-		for _, t := range wanted {
-			e, ok := old.entries[t.Name]
+		next := table{targets: make(map[string]watchedTarget, len(targetsToWatch))}
+		for _, t := range targetsToWatch {
+			w, ok := old.targets[t.Name]
 			if !ok {
-				e = entry{own: new(atomic.Int64), slots: t.Slots}
+				w = watchedTarget{ownGenerations: new(atomic.Int64), slots: t.Slots}
 			}
-			e.target = t
-			next.entries[t.Name] = e
+			w.target = t
+			next.targets[t.Name] = w
 			next.names = append(next.names, t.Name)
 		}
 		slices.Sort(next.names)
@@ -254,49 +257,49 @@
 	})
 }
 
-// wanted returns the engines to watch: a stable subset for each model, spread over failure domains.
-func (p *Pool) wanted(snapshot *conf.Snapshot) []conf.Target {
-	byModel := make(map[string][]route.Place)
-	byName := make(map[string]conf.Target)
+// targetsToWatch returns the engines to watch: for each model, a stable subset spread over failure domains.
+func (p *Pool) targetsToWatch(snapshot *conf.Snapshot) []conf.Target {
+	placesByModel := make(map[string][]route.Place)
+	targetsByName := make(map[string]conf.Target)
 	for _, t := range snapshot.Targets() {
-		byName[t.Name] = t
+		targetsByName[t.Name] = t
 		for _, grant := range t.Models {
 			model, _, _ := conf.SplitGrant(grant)
-			byModel[model] = append(byModel[model], route.Place{Name: t.Name, Domain: t.Domain})
+			placesByModel[model] = append(placesByModel[model], route.Place{Name: t.Name, Domain: t.Domain})
 		}
 	}
-	subset := max(leastSubset, p.settings.Budget/max(1, len(byModel)))
+	targetsPerModel := max(minTargetsPerModel, p.settings.Budget/max(1, len(placesByModel)))
 	chosen := make(map[string]bool)
-	for model, places := range byModel {
-		for _, name := range route.Spread(p.settings.Self+"/"+model, p.settings.Domain, places, subset) {
+	for model, places := range placesByModel {
+		for _, name := range route.Spread(p.settings.Self+"/"+model, p.settings.Domain, places, targetsPerModel) {
 			chosen[name] = true
 		}
 	}
-	var wanted []conf.Target
+	var targetsToWatch []conf.Target
 	for name := range chosen {
-		wanted = append(wanted, byName[name])
+		targetsToWatch = append(targetsToWatch, targetsByName[name])
 	}
-	return wanted
+	return targetsToWatch
 }
 
-// withMiss returns the entry after a report that did not come.
-func (e entry) withMiss() entry {
-	e.fails++
-	if e.fails >= failsToSuspect {
-		e.suspect = true
+// withMissedReport returns the target after a failed poll.
+func (w watchedTarget) withMissedReport() watchedTarget {
+	w.missedReports++
+	if w.missedReports >= missesToSuspect {
+		w.isSuspect = true
 	}
-	return e
+	return w
 }
 
-// withReport returns the entry after a report.
-func (e entry) withReport(l engine.Load, events []engine.CacheEvent) entry {
-	e.fails = 0
-	e.suspect = false
-	e.load = l.Running + l.Waiting
-	e.leaving = l.Leaving
-	if l.Slots > 0 {
-		e.slots = l.Slots
+// withReport returns the target after a successful poll, which clears its suspicion.
+func (w watchedTarget) withReport(load engine.Load, events []engine.CacheEvent) watchedTarget {
+	w.missedReports = 0
+	w.isSuspect = false
+	w.reportedLoad = load.Running + load.Waiting
+	w.isDraining = load.Leaving
+	if load.Slots > 0 {
+		w.slots = load.Slots
 	}
-	e.cache = e.cache.withEvents(events)
-	return e
+	w.cacheEstimate = w.cacheEstimate.withEvents(events)
+	return w
 }
--- a/entry/internal/pool/table.go
+++ b/entry/internal/pool/table.go
@@ -8,74 +8,75 @@
 	"bramleywharf.example/core/route"
 )
 
-// entry is one watched target; its values are never changed after construction, but for the shared count.
-type entry struct {
-	target  conf.Target
-	own     *atomic.Int64 // own counts this instance's generations there.
-	load    int
-	slots   int
-	leaving bool
-	suspect bool
-	fails   int
-	cache   cache
+// watchedTarget is the state of one watched target. It is immutable, except that all copies share ownGenerations.
+type watchedTarget struct {
+	target         conf.Target
+	ownGenerations *atomic.Int64 // ownGenerations counts this instance's generations on the target.
+	reportedLoad   int           // reportedLoad is the number of running and waiting generations in the last report.
+	slots          int           // slots is 0 while not known.
+	isDraining     bool          // isDraining is set by the target's report; its declaration may say so too.
+	isSuspect      bool
+	missedReports  int
+	cacheEstimate  cacheEstimate
 }
 
 // table is the immutable set of watched targets.
 type table struct {
-	entries map[string]entry
-	names   []string // names is sorted.
+	targets map[string]watchedTarget
+	names   []string // names holds the keys of targets in order.
 }
 
-// candidate returns the target as the chooser sees it.
-func (e entry) candidate(prefix string) route.Candidate {
+// candidate returns the target as a candidate for a prompt with a prefix.
+func (w watchedTarget) candidate(prefix string) route.Candidate {
 	return route.Candidate{
-		Name:    e.target.Name,
-		Address: e.target.Address,
-		Domain:  e.target.Domain,
-		Slots:   e.slots,
-		Own:     int(e.own.Load()),
-		Load:    e.load,
-		Warm:    e.cache.belief(prefix),
-		Suspect: e.suspect,
+		Name:    w.target.Name,
+		Address: w.target.Address,
+		Domain:  w.target.Domain,
+		Slots:   w.slots,
+		Own:     int(w.ownGenerations.Load()),
+		Load:    w.reportedLoad,
+		Warm:    w.cacheEstimate.probability(prefix),
+		Suspect: w.isSuspect,
 	}
 }
 
-// free returns the slots that seem free; an engine whose slots are not known always has one.
-func (e entry) free() int {
-	if e.slots == 0 {
+// freeSlots returns the estimated number of free slots. It is negative for an overloaded target, and 1 for a target
+// whose slots are not known.
+func (w watchedTarget) freeSlots() int {
+	if w.slots == 0 {
 		return 1
 	}
-	return e.slots - max(e.load, int(e.own.Load()))
+	return w.slots - max(w.reportedLoad, int(w.ownGenerations.Load()))
 }
 
-// offers tells whether the target takes new work for a model, adapter and version.
-func (e entry) offers(model, adapter, version string) bool {
-	if e.leaving || e.target.Leaving {
+// accepts tells whether the target takes new generations of a model, adapter and version.
+func (w watchedTarget) accepts(model, adapter, version string) bool {
+	if w.isDraining || w.target.Leaving {
 		return false
 	}
-	return conf.Limit{Models: e.target.Models}.Allows(model, adapter, version)
+	return conf.Limit{Models: w.target.Models}.Allows(model, adapter, version)
 }
 
-// serves tells whether the target takes new work for a model, whatever the adapter and version.
-func (e entry) serves(model string) bool {
-	if e.leaving || e.target.Leaving {
+// acceptsModel tells whether the target takes new generations of any adapter and version of a model.
+func (w watchedTarget) acceptsModel(model string) bool {
+	if w.isDraining || w.target.Leaving {
 		return false
 	}
-	return slices.ContainsFunc(e.target.Models, func(grant string) bool {
+	return slices.ContainsFunc(w.target.Models, func(grant string) bool {
 		name, _, _ := conf.SplitGrant(grant)
 		return name == model
 	})
 }
 
-// withEntry returns a table with one entry replaced, if it is there.
-func (t table) withEntry(e entry) table {
-	if _, ok := t.entries[e.target.Name]; !ok {
+// withTarget returns a table with a target replaced, or the same table if the target is not in it.
+func (t table) withTarget(w watchedTarget) table {
+	if _, ok := t.targets[w.target.Name]; !ok {
 		return t
 	}
-	next := table{entries: make(map[string]entry, len(t.entries)), names: t.names}
-	for name, old := range t.entries {
-		next.entries[name] = old
+	next := table{targets: make(map[string]watchedTarget, len(t.targets)), names: t.names}
+	for name, old := range t.targets {
+		next.targets[name] = old
 	}
-	next.entries[e.target.Name] = e
+	next.targets[w.target.Name] = w
 	return next
 }
