--- a/entry/internal/steer/doc.go
+++ b/entry/internal/steer/doc.go
@@ -1,7 +1,7 @@
-// Package steer is the controller of orders to engines.
+// Package steer orders engines to load the models that they are declared with.
 //
-// Its wanted state is that each engine holds the models that its declaration
-// names. One instance, the holder of a lease in the platform, reads back what
-// engines hold and orders what is missing, a few loads at a time so that the
-// weight store is not stampeded.
+// One instance, the holder of a lease in the platform, reads from each engine
+// which models it has loaded and orders it to load the declared ones if they
+// differ. It sends only a few orders at a time, as engines fetch models from a
+// rate-limited weight store.
 package steer
--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -19,81 +19,82 @@
 )
 
 const (
-	kindLease   = "lease"
-	leaseName   = "engine-orders"
-	loadsAtOnce = 2  // loadsAtOnce bounds the engines that are told to load in one round, as the weight store is rate-limited.
-	readsAtOnce = 20 // readsAtOnce bounds the engines that are read back in one round, so that the holder's cost does not grow with their number.
+	kindLease         = "lease"
+	leaseName         = "engine-orders"
+	maxOrdersPerRound = 2  // maxOrdersPerRound protects the weight store, which is rate-limited.
+	maxReadsPerRound  = 20 // maxReadsPerRound keeps the cost of a round independent of the number of engines.
 )
 
 // Roles tells whether this instance should hold the lease.
 type Roles interface {
-	// Elected tells whether this instance is one of a few that act for all.
+	// Elected tells whether this instance is among the count instances that are elected for a role.
 	Elected(role string, count int) bool
 }
 
-// Source gives the declared targets.
+// Source provides the configuration that declares the targets.
 type Source interface {
-	// Current returns the snapshot in force, or an error while it cannot be known.
+	// Current returns the current snapshot, or an error while the configuration is not known.
 	Current() (*conf.Snapshot, error)
 }
 
-// Steer orders engines to hold what is declared; when it is closed, its lease lapses by itself.
+// Steer orders engines to load the declared models. Closing it does not give up the lease, which expires.
 type Steer struct {
 	*wait.Loop
-	self    string
-	store   store.Store
-	roles   Roles
-	source  Source
-	engines engine.Client
-	log     log.Interface
-	orders  *metrics.Counter
-	stale   *metrics.Counter
+	self          string
+	store         store.Store
+	roles         Roles
+	source        Source
+	engines       engine.Client
+	log           log.Interface
+	ordersSent    *metrics.Counter
+	ordersRefused *metrics.Counter
 
-	seen  fence.Seen // seen is owned by the loop.
-	taken time.Time  // taken is when this instance took the lease; owned by the loop.
-	next  int        // next is where the next round of targets begins; owned by the loop.
+	// Only the loop uses these.
+	leaseSeen    fence.Seen
+	leaseTakenAt time.Time // leaseTakenAt is when this instance last took the lease over.
+	nextTarget   int       // nextTarget is the index, modulo their number, of the target that the next round starts with.
 }
 
-// New returns a controller that orders engines while it holds the lease.
+// New returns a controller that orders engines while it holds the lease and registers its metrics in the set.
 func New(self string, platform store.Store, roles Roles, source Source, engines engine.Client, logger log.Interface, set *metrics.Set) *Steer {
 	s := &Steer{
-		self:    self,
-		store:   platform,
-		roles:   roles,
-		source:  source,
-		engines: engines,
-		log:     logger,
-		orders:  set.GetOrCreateCounter("bramleywharf_engine_orders_total"),
-		stale:   set.GetOrCreateCounter("bramleywharf_engine_orders_refused_total"),
+		self:          self,
+		store:         platform,
+		roles:         roles,
+		source:        source,
+		engines:       engines,
+		log:           logger,
+		ordersSent:    set.GetOrCreateCounter("bramleywharf_engine_orders_total"),
+		ordersRefused: set.GetOrCreateCounter("bramleywharf_engine_orders_refused_total"),
 	}
 	s.Loop = wait.Start(s.loop)
 	return s
 }
 
-// extend writes the lease with this instance as its holder.
-func (s *Steer) extend(ctx context.Context, l fence.Lease, fresh bool) {
+// writeLease takes the lease over or extends it. If that fails, it reads the lease again.
+func (s *Steer) writeLease(ctx context.Context, l fence.Lease, isTakeover bool) {
 	raw, err := json.Marshal(l)
 	if err != nil {
-		s.log.WithError(err).Error("lease cannot be encoded")
+		s.log.WithError(err).Error("lease could not be encoded")
 		return
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, fence.Renew)
 	defer cancel()
-	o := store.Object{Kind: kindLease, Name: leaseName, Revision: s.seen.Revision}
+	o := store.Object{Kind: kindLease, Name: leaseName, Revision: s.leaseSeen.Revision}
 	revision, err := store.Settled{Store: s.store}.Put(ctx, o.WithValue(token.NewID(), raw))
 	if err != nil {
-		s.read(ctx)
+		s.readLease(ctx)
 		return
 	}
-	s.seen = s.seen.WithHold(l, revision, asked)
-	if fresh {
-		s.taken = time.Now()
-		s.log.WithField("fencing-number", l.Number).Info("holds the lease for engine orders")
+	s.leaseSeen = s.leaseSeen.WithHold(l, revision, requestedAt)
+	if isTakeover {
+		s.leaseTakenAt = time.Now()
+		s.log.WithField("fencing-number", l.Number).Info("took over the lease for engine orders")
 	}
 }
 
-// loop keeps the lease and carries out a round of orders.
+// loop keeps the lease while this instance is elected, and runs a round of orders at each renewal.
 func (s *Steer) loop(ctx context.Context) {
 	tick := time.NewTicker(fence.Renew)
 	defer tick.Stop()
@@ -103,88 +104,90 @@
 			return
 		case <-tick.C:
 		}
-		wants := s.roles.Elected("steer", 1)
-		if wants && s.seen.Until.IsZero() {
-			s.read(ctx)
+		wantsLease := s.roles.Elected("steer", 1)
+		if wantsLease && s.leaseSeen.Until.IsZero() {
+			s.readLease(ctx)
 		}
-		switch step := fence.Decide(s.seen, s.self, wants, time.Now()).(type) {
+		switch step := fence.Decide(s.leaseSeen, s.self, wantsLease, time.Now()).(type) {
 		case fence.Take:
-			s.extend(ctx, step.Lease, true)
+			s.writeLease(ctx, step.Lease, true)
 		case fence.Extend:
-			s.extend(ctx, step.Lease, false)
+			s.writeLease(ctx, step.Lease, false)
 		}
-		s.round(ctx)
+		s.runRound(ctx)
 	}
 }
 
-// read learns who holds the lease.
-func (s *Steer) read(ctx context.Context) {
+// readLease reads the lease from the platform.
+func (s *Steer) readLease(ctx context.Context) {
 	o, err := s.store.Get(ctx, kindLease, leaseName)
 	if err != nil {
-		s.log.WithError(err).Debug("lease is not known; asking again")
+		s.log.WithError(err).Debug("lease could not be read")
 		return
 	}
 	var l fence.Lease
 	if err := json.Unmarshal(o.Value, &l); err != nil {
-		s.log.WithError(err).Error("lease cannot be read")
+		s.log.WithError(err).Error("lease could not be decoded")
 		return
 	}
-	s.seen = s.seen.WithLease(l, o.Revision, time.Now())
+	s.leaseSeen = s.leaseSeen.WithLease(l, o.Revision, time.Now())
 }
 
-// reconcile reads back what an engine holds and orders what is declared, and tells whether it ordered a load.
+// reconcile reads which models an engine has loaded and orders the declared ones if they differ. It tells whether it
+// sent an order.
 func (s *Steer) reconcile(ctx context.Context, t conf.Target) (ordered bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, fence.OrderBound)
 	defer cancel()
-	report, err := s.engines.Load(ctx, t.Address)
+	load, err := s.engines.Load(ctx, t.Address)
 	if err != nil {
-		return false, fmt.Errorf("read back %s: %w", t.Name, err)
+		return false, fmt.Errorf("read models of %s: %w", t.Name, err)
 	}
-	wanted := slices.Sorted(slices.Values(t.Models))
-	if slices.Equal(slices.Sorted(slices.Values(report.Models)), wanted) {
+	wantedModels := slices.Sorted(slices.Values(t.Models))
+	if slices.Equal(slices.Sorted(slices.Values(load.Models)), wantedModels) {
 		return false, nil
 	}
-	if !fence.May(s.seen, s.self, kindOf(t), s.taken, time.Now()) {
+	if !fence.May(s.leaseSeen, s.self, fencingOf(t), s.leaseTakenAt, time.Now()) {
 		return false, nil
 	}
-	s.orders.Inc()
-	err = s.engines.Order(ctx, t.Address, engine.Order{Fence: s.seen.Lease.Number, Models: wanted})
+	s.ordersSent.Inc()
+	err = s.engines.Order(ctx, t.Address, engine.Order{Fence: s.leaseSeen.Lease.Number, Models: wantedModels})
 	if errors.Is(err, engine.ErrFenced) {
-		s.stale.Inc()
+		s.ordersRefused.Inc()
 	}
 	return true, err
 }
 
-// round goes on through the engines until enough loads are ordered.
-func (s *Steer) round(ctx context.Context) {
-	if s.seen.Lease.Holder != s.self || s.seen.Until.IsZero() {
+// runRound reconciles the next engines, if this instance holds the lease, until it has sent enough orders, has read
+// enough engines or its lease is about to expire.
+func (s *Steer) runRound(ctx context.Context) {
+	if s.leaseSeen.Lease.Holder != s.self || s.leaseSeen.Until.IsZero() {
 		return
 	}
 	snapshot, err := s.source.Current()
 	if err != nil {
-		s.log.WithError(err).Debug("no orders while the configuration is not known")
+		s.log.WithError(err).Debug("configuration is not known; sending no orders")
 		return
 	}
 	targets := slices.DeleteFunc(snapshot.Targets(), func(t conf.Target) bool { return len(t.Models) == 0 || t.Leaving })
-	loads := 0
-	for range min(len(targets), readsAtOnce) {
-		t := targets[s.next%len(targets)]
-		s.next++
+	orderCount := 0
+	for range min(len(targets), maxReadsPerRound) {
+		t := targets[s.nextTarget%len(targets)]
+		s.nextTarget++
 		ordered, err := s.reconcile(ctx, t)
 		if err != nil {
-			s.log.WithError(err).WithField("target", t.Name).Debug("order failed")
+			s.log.WithError(err).WithField("target", t.Name).Debug("models of an engine could not be read or ordered")
 		}
 		if ordered {
-			loads++
+			orderCount++
 		}
-		if loads == loadsAtOnce || time.Now().Add(fence.OrderBound).After(s.seen.Until) {
+		if orderCount == maxOrdersPerRound || time.Now().Add(fence.OrderBound).After(s.leaseSeen.Until) {
 			return
 		}
 	}
 }
 
-// kindOf returns how a target treats fencing numbers.
-func kindOf(t conf.Target) fence.Engine {
+// fencingOf tells whether a target checks or ignores fencing numbers.
+func fencingOf(t conf.Target) fence.Engine {
 	if t.IgnoresFencing {
 		return fence.Ignoring{}
 	}
