--- a/entry/internal/pool/cache.go
+++ b/entry/internal/pool/cache.go
@@ -10,7 +10,7 @@
 	prefixWords       = 16   // prefixWords is the length of the prompt prefix that identifies cache entries.
 	gapFactor         = 0.5  // gapFactor scales all probabilities when cache events were missed.
 	routedProbability = 0.8  // routedProbability is for a prefix that was sent to the target, but not yet reported by it.
-	maxPrefixes       = 1024 // maxPrefixes bounds the prefixes kept when an estimate is copied.
+	maxPrefixes       = 1024 // maxPrefixes bounds the prefixes of one target that are kept from one estimate to the next.
 )
 
 // cacheEstimate estimates which prompt prefixes a target has cached; it is immutable.
@@ -30,7 +30,7 @@
 	return c.probabilities[prefix]
 }
 
-// scaledProbabilities returns a copy of the probabilities, multiplied by a factor.
+// scaledProbabilities returns a copy of at most maxPrefixes of the probabilities, multiplied by a factor.
 func (c cacheEstimate) scaledProbabilities(factor float64) map[string]float64 {
 	probabilities := make(map[string]float64, len(c.probabilities)+1)
 	for prefix, probability := range c.probabilities {
--- a/entry/internal/pool/pool.go
+++ b/entry/internal/pool/pool.go
@@ -51,7 +51,7 @@
 	// Only the loop uses these.
 	lastPolls          map[string]time.Time // lastPolls maps a target's name to the time of its last poll.
 	pollCounts         map[string]int       // pollCounts maps a target's name to the number of its polls.
-	reconciledRevision conf.Revision        // reconciledRevision is the configuration that the table follows.
+	reconciledRevision conf.Revision        // reconciledRevision is the revision that the table was last updated to.
 }
 
 // New returns a pool that watches the targets of a source and registers its metrics in the set.
--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -24,7 +24,7 @@
 	runID         string // runID is the run that started the attempt, possibly on another instance.
 	id            string
 	next          int       // next is the offset of the token expected next from the current reader.
-	lastActivity  time.Time // lastActivity is reset by tokens and by each new reader or probe.
+	lastActivity  time.Time // lastActivity is the time of the last token, new reader or probe.
 	hasDelivered  bool      // hasDelivered tells whether a token of this attempt was delivered to the caller.
 	probes        int       // probes counts probes and races since the last delivered token.
 	readerID      int       // readerID is the current reader; events of earlier readers are ignored.
--- a/entry/internal/relay/run.go
+++ b/entry/internal/relay/run.go
@@ -15,7 +15,8 @@
 // runIDLength is the number of random characters in a run's id, enough to tell the runs of one request apart.
 const runIDLength = 12
 
-// generation is the state of one run of a generation; only the goroutine that runs loop uses it.
+// generation is the state of one run of a generation, owned by the goroutine that runs loop. Readers and probes only
+// send to events.
 type generation struct {
 	relay          *Relay
 	job            Job
