--- a/entry/internal/front/complete.go
+++ b/entry/internal/front/complete.go
@@ -11,26 +11,28 @@
 	"bramleywharf.example/entry/chain"
 )
 
-// defaultMaxTokens is the bound of an answer whose request names none.
+// defaultMaxTokens bounds a completion whose request has no max_tokens.
 const defaultMaxTokens = 1024
 
-// completionRequest is the published body of a completion request; unknown fields are passed over, as clients send many.
+// completionRequest is the body of a completion request. Its JSON names are part of the public interface.
+// Unknown fields are ignored, because clients send many.
 type completionRequest struct {
-	Model     string `json:"model"` // Model is model, model/adapter or model/adapter@version.
+	Model     string `json:"model"` // Model has the form model, model/adapter or model/adapter@version.
 	Prompt    string `json:"prompt"`
 	MaxTokens *int   `json:"max_tokens"`
 	Seed      uint64 `json:"seed"`
 	Stream    bool   `json:"stream"`
 }
 
-// choice is one choice of a completion.
+// choice is the text of a completion or of one event. The format has a list of choices; here it always has one.
 type choice struct {
 	Text         string  `json:"text"`
 	Index        int     `json:"index"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// completion is the published body of a completion or of one piece of its stream.
+// completion is the body of an unstreamed completion or of one event of a stream. Its JSON names are part of the
+// public interface.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -39,95 +41,96 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// usage counts the tokens of a completion.
+// usage counts the generated tokens of a completion.
 type usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// complete answers a completion request, streamed or whole.
-func (f *Front) complete(w http.ResponseWriter, r *http.Request) {
-	var body completionRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&body); err != nil {
-		refuse(w, bodyRefusal(err))
+// completeFromBody answers a completion request whose parameters are in a JSON body.
+func (f *Front) completeFromBody(w http.ResponseWriter, r *http.Request) {
+	var request completionRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCompletionBody)).Decode(&request); err != nil {
+		writeRefusal(w, bodyRefusal(err))
 		return
 	}
-	f.run(w, r, body)
+	f.runCompletion(w, r, request)
 }
 
-// completeByQuery answers a completion request made by a browser's EventSource, which can only GET.
-func (f *Front) completeByQuery(w http.ResponseWriter, r *http.Request) {
-	body := completionRequest{Model: r.FormValue("model"), Prompt: r.FormValue("prompt"), Stream: true}
-	if text := r.FormValue("max_tokens"); text != "" {
-		n, err := strconv.Atoi(text)
+// completeFromQuery answers a completion request whose parameters are in the query, always as a stream.
+// It serves the EventSource of browsers, which can only send GET requests.
+func (f *Front) completeFromQuery(w http.ResponseWriter, r *http.Request) {
+	request := completionRequest{Model: r.FormValue("model"), Prompt: r.FormValue("prompt"), Stream: true}
+	if value := r.FormValue("max_tokens"); value != "" {
+		maxTokens, err := strconv.Atoi(value)
 		if err != nil {
-			refuse(w, deny.New(deny.KindMalformed, "max_tokens %q is not a number", text))
+			writeRefusal(w, deny.New(deny.KindMalformed, "max_tokens %q is not a number", value))
 			return
 		}
-		body.MaxTokens = &n
+		request.MaxTokens = &maxTokens
 	}
-	if text := r.FormValue("seed"); text != "" {
-		seed, err := strconv.ParseUint(text, 10, 64)
+	if value := r.FormValue("seed"); value != "" {
+		seed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			refuse(w, deny.New(deny.KindMalformed, "seed %q is not a number", text))
+			writeRefusal(w, deny.New(deny.KindMalformed, "seed %q is not a number", value))
 			return
 		}
-		body.Seed = seed
+		request.Seed = seed
 	}
-	f.run(w, r, body)
+	f.runCompletion(w, r, request)
 }
 
-// run runs a completion request, or goes on with one after its last event id.
-func (f *Front) run(w http.ResponseWriter, r *http.Request, body completionRequest) {
-	c := call(r, body.request(r.Header.Get(headerLastEventID)))
-	if !body.Stream {
-		f.whole(w, r, c, body.Model)
+// runCompletion runs a completion request. With a Last-Event-ID header, it resumes the generation after that event.
+func (f *Front) runCompletion(w http.ResponseWriter, r *http.Request, request completionRequest) {
+	c := newCall(r, request.chainRequest(r.Header.Get(headerLastEventID)))
+	if !request.Stream {
+		f.runUnstreamed(w, r, c, request.Model)
 		return
 	}
-	s := newStream(w, c.ID, body.Model)
+	s := newStream(w, c.ID, request.Model)
 	c.Sink = s
 	s.finish(f.handler(r.Context(), c))
 }
 
-// whole answers a completion in one piece.
-func (f *Front) whole(w http.ResponseWriter, r *http.Request, c chain.Call, model string) {
+// runUnstreamed runs a completion to its end and writes it as one JSON body.
+func (f *Front) runUnstreamed(w http.ResponseWriter, r *http.Request, c chain.Call, model string) {
 	sink := &collector{}
 	c.Sink = sink
 	answer := f.handler(r.Context(), c)
-	done, ok := answer.(chain.Streamed)
+	streamed, ok := answer.(chain.Streamed)
 	if !ok {
-		write(w, answer)
+		writeAnswer(w, answer)
 		return
 	}
 	writeJSON(w, http.StatusOK, completion{
 		ID:      c.ID,
 		Object:  "text_completion",
 		Model:   model,
-		Choices: []choice{{Text: sink.text.String(), FinishReason: &done.Reason}},
-		Usage:   &usage{CompletionTokens: done.Tokens},
+		Choices: []choice{{Text: sink.text.String(), FinishReason: &streamed.Reason}},
+		Usage:   &usage{CompletionTokens: streamed.Tokens},
 	})
 }
 
-// request returns the request of the chain that a body asks for.
-func (b completionRequest) request(lastEventID string) chain.Request {
+// chainRequest returns the request for the chain: Resume if there is a last event id, Generate otherwise.
+func (r completionRequest) chainRequest(lastEventID string) chain.Request {
 	if lastEventID != "" {
-		return chain.Resume{LastEventID: lastEventID, Prompt: b.Prompt}
+		return chain.Resume{LastEventID: lastEventID, Prompt: r.Prompt}
 	}
-	limit := defaultMaxTokens
-	if b.MaxTokens != nil {
-		limit = *b.MaxTokens
+	maxTokens := defaultMaxTokens
+	if r.MaxTokens != nil {
+		maxTokens = *r.MaxTokens
 	}
-	model, adapter, version := conf.SplitGrant(b.Model)
+	model, adapter, version := conf.SplitGrant(r.Model)
 	return chain.Generate{
 		Model:     model,
 		Adapter:   adapter,
 		Version:   version,
-		Prompt:    b.Prompt,
-		Seed:      b.Seed,
-		MaxTokens: limit,
+		Prompt:    r.Prompt,
+		Seed:      r.Seed,
+		MaxTokens: maxTokens,
 	}
 }
 
-// bodyRefusal names the place of a fault in a JSON body.
+// bodyRefusal returns the refusal of a JSON body that could not be decoded; its detail says where the fault is.
 func bodyRefusal(err error) deny.Refusal {
 	switch e := err.(type) {
 	case *http.MaxBytesError:
--- a/entry/internal/front/doc.go
+++ b/entry/internal/front/doc.go
@@ -1,3 +1,4 @@
-// Package front is the HTTP front end: it turns messages of callers into calls
-// of the chain, and answers back into messages.
+// Package front is the HTTP front end for callers: it decodes requests into
+// calls of the filter chain and encodes the answers as JSON or server-sent
+// events.
 package front
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	maxBody     = 16 << 20 // maxBody bounds the body of a generation, in bytes.
-	maxCallBody = 1 << 20  // maxCallBody bounds the body of a plain service's call, in bytes.
+	maxCompletionBody = 16 << 20 // maxCompletionBody bounds the body of a completion request, in bytes.
+	maxServiceBody    = 1 << 20  // maxServiceBody bounds the body of a call of a plain service, in bytes.
 )
 
-// Headers of the callers' interface.
+// Request headers of callers.
 const (
-	headerKey         = "Idempotency-Key"
-	headerNoRepeat    = "Bramleywharf-Non-Idempotent"
-	headerLastEventID = "Last-Event-ID"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerNonIdempotent  = "Bramleywharf-Non-Idempotent"
+	headerLastEventID    = "Last-Event-ID"
 )
 
-// Issuer hands out keys for non-idempotent calls.
+// Issuer issues idempotency keys for non-idempotent calls.
 type Issuer interface {
 	// Issue returns a new key for an organisation.
 	Issue(organisation string) (string, error)
@@ -32,57 +32,59 @@
 
 // Front answers callers over HTTP.
 type Front struct {
-	handler chain.Handler
-	mux     *http.ServeMux
-	closed  atomic.Bool
+	handler  chain.Handler
+	mux      *http.ServeMux
+	draining atomic.Bool // draining is true when new requests are refused while those in progress continue.
 }
 
-// New returns a front end of a chain and an issuer of keys.
+// New returns a front end that runs calls with the handler and issues keys with the issuer.
 func New(handler chain.Handler, issuer Issuer) *Front {
 	f := &Front{handler: handler, mux: http.NewServeMux()}
-	f.mux.HandleFunc("POST /v1/completions", f.complete)
-	f.mux.HandleFunc("GET /v1/completions", f.completeByQuery)
-	f.mux.HandleFunc("GET /v1/addresses", f.addresses)
-	f.mux.HandleFunc("GET /v1/keys", f.key(issuer))
-	f.mux.HandleFunc("/v1/services/{service}/{path...}", f.service)
+	f.mux.HandleFunc("POST /v1/completions", f.completeFromBody)
+	f.mux.HandleFunc("GET /v1/completions", f.completeFromQuery)
+	f.mux.HandleFunc("GET /v1/addresses", f.lookUpAddresses)
+	f.mux.HandleFunc("GET /v1/keys", f.issueKey(issuer))
+	f.mux.HandleFunc("/v1/services/{service}/{path...}", f.callService)
 	f.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	f.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		refuse(w, deny.New(deny.KindUnknown, "%s %s is not part of this interface", r.Method, r.URL.Path))
+		writeRefusal(w, deny.New(deny.KindUnknown, "%s %s is not part of this interface", r.Method, r.URL.Path))
 	})
 	return f
 }
 
-// ServeHTTP answers a caller, or refuses while the front end is closed.
+// ServeHTTP answers a request, or refuses it after Shut.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.closed.Load() {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
-		refuse(w, deny.New(deny.KindUnavailable, "this instance is leaving; ask another for addresses").WithRetryAfter(retryNow))
+		writeRefusal(w, deny.New(deny.KindUnavailable, "this instance is leaving; ask another for addresses").
+			WithRetryAfter(drainingRetryAfter))
 		return
 	}
 	f.mux.ServeHTTP(w, r)
 }
 
-// Shut refuses new calls from now on; those under way go on.
+// Shut makes the front end refuse new requests; those in progress continue.
 func (f *Front) Shut() {
-	f.closed.Store(true)
+	f.draining.Store(true)
 }
 
-// addresses answers which instances to use.
-func (f *Front) addresses(w http.ResponseWriter, r *http.Request) {
-	f.answer(w, r, call(r, chain.Lookup{
+// lookUpAddresses answers with the instances that the caller should use.
+func (f *Front) lookUpAddresses(w http.ResponseWriter, r *http.Request) {
+	f.runCall(w, r, newCall(r, chain.Lookup{
 		Model:  r.FormValue("model"),
 		Prompt: r.FormValue("prompt"),
 		Domain: r.FormValue("failure-domain"),
 	}))
 }
 
-// answer runs a call that is not streamed and writes its answer.
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, c chain.Call) {
-	write(w, f.handler(r.Context(), c))
+// runCall runs a call that is not streamed and writes its answer.
+func (f *Front) runCall(w http.ResponseWriter, r *http.Request, c chain.Call) {
+	writeAnswer(w, f.handler(r.Context(), c))
 }
 
-// call returns a call of a request with the caller's credential.
-func call(r *http.Request, request chain.Request) chain.Call {
+// newCall returns a call for a chain request, with a new id and the caller's credential. The credential may also be
+// the query parameter key, since the EventSource of browsers cannot set headers.
+func newCall(r *http.Request, request chain.Request) chain.Call {
 	credential := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if credential == "" {
 		credential = r.URL.Query().Get("key")
@@ -90,47 +92,48 @@
 	return chain.Call{ID: token.NewID(), Credential: credential, Request: request}
 }
 
-// key answers a key that this instance issues to the organisation that a look-up identifies.
-func (f *Front) key(issuer Issuer) http.HandlerFunc {
+// issueKey returns a handler that issues an idempotency key to the caller's organisation. It runs a look-up through
+// the chain to learn which organisation the credential belongs to.
+func (f *Front) issueKey(issuer Issuer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		answer := f.handler(r.Context(), call(r, chain.Lookup{}))
-		list, ok := answer.(chain.Addresses)
+		answer := f.handler(r.Context(), newCall(r, chain.Lookup{}))
+		addresses, ok := answer.(chain.Addresses)
 		if !ok {
-			write(w, answer)
+			writeAnswer(w, answer)
 			return
 		}
-		key, err := issuer.Issue(list.Organisation)
+		key, err := issuer.Issue(addresses.Organisation)
 		if err != nil {
-			refuse(w, deny.New(deny.KindInternal, "no key can be issued"))
+			writeRefusal(w, deny.New(deny.KindInternal, "no key can be issued"))
 			return
 		}
 		writeJSON(w, http.StatusOK, map[string]string{"key": key})
 	}
 }
 
-// service runs a call of a plain service.
-func (f *Front) service(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBody))
+// callService runs a call of a plain service.
+func (f *Front) callService(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxServiceBody))
 	if err != nil {
-		refuse(w, deny.New(deny.KindTooLarge, "body is cut or over %d bytes", maxCallBody))
+		writeRefusal(w, deny.New(deny.KindTooLarge, "body is cut or over %d bytes", maxServiceBody))
 		return
 	}
 	path := "/" + r.PathValue("path")
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
-	f.answer(w, r, call(r, chain.Invoke{
+	f.runCall(w, r, newCall(r, chain.Invoke{
 		Service:       r.PathValue("service"),
 		Method:        r.Method,
 		Path:          path,
-		Key:           r.Header.Get(headerKey),
+		Key:           r.Header.Get(headerIdempotencyKey),
 		ContentType:   r.Header.Get("Content-Type"),
 		Body:          body,
-		NonIdempotent: r.Header.Get(headerNoRepeat) == "true",
+		NonIdempotent: r.Header.Get(headerNonIdempotent) == "true",
 	}))
 }
 
-// writeJSON writes a value with a status.
+// writeJSON writes a value as JSON with a status code.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/entry/internal/front/problem.go
+++ b/entry/internal/front/problem.go
@@ -11,10 +11,10 @@
 	"bramleywharf.example/entry/chain"
 )
 
-// retryNow is what callers of a leaving instance are told to wait.
-const retryNow = time.Second
+// drainingRetryAfter is the Retry-After of requests that a leaving instance refuses.
+const drainingRetryAfter = time.Second
 
-// problem is a refusal as an RFC 9457 problem document.
+// problem is the RFC 9457 problem document of a refusal.
 type problem struct {
 	Type     string        `json:"type"`
 	Title    string        `json:"title"`
@@ -23,17 +23,17 @@
 	Executed deny.Executed `json:"executed"`
 }
 
-// addressBody is one instance of an address answer.
-type addressBody struct {
+// instanceAddress is the address of one instance.
+type instanceAddress struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"failure-domain"`
 	Address  string `json:"address"`
 }
 
-// addressesBody is the body of an address answer.
-type addressesBody struct {
-	Addresses []addressBody `json:"addresses"`
-	Life      int           `json:"time-to-live-seconds"`
+// addressList is the body of an address look-up's response. Callers may keep it for its time to live.
+type addressList struct {
+	Addresses []instanceAddress `json:"addresses"`
+	Life      int               `json:"time-to-live-seconds"`
 }
 
 // problemOf returns the problem document of a refusal.
@@ -48,8 +48,8 @@
 	}
 }
 
-// refuse writes a refusal.
-func refuse(w http.ResponseWriter, r deny.Refusal) {
+// writeRefusal writes a refusal as a problem document, with its Retry-After in whole seconds, rounded up.
+func writeRefusal(w http.ResponseWriter, r deny.Refusal) {
 	p := problemOf(r)
 	if r.RetryAfter > 0 {
 		seconds := int(math.Ceil(r.RetryAfter.Seconds()))
@@ -60,7 +60,7 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// statusOf returns the HTTP status of a kind of refusal.
+// statusOf returns the HTTP status code of a kind of refusal.
 func statusOf(k deny.Kind) int {
 	switch k {
 	case deny.KindConflict:
@@ -86,8 +86,8 @@
 	}
 }
 
-// write writes an answer that is not streamed.
-func write(w http.ResponseWriter, answer chain.Answer) {
+// writeAnswer writes an answer that is not streamed. It aborts the connection if the caller has left.
+func writeAnswer(w http.ResponseWriter, answer chain.Answer) {
 	switch a := answer.(type) {
 	case chain.Whole:
 		if a.ContentType != "" {
@@ -96,16 +96,20 @@
 		w.WriteHeader(a.Status)
 		_, _ = w.Write(a.Body)
 	case chain.Addresses:
-		body := addressesBody{Addresses: []addressBody{}, Life: int(a.Life.Seconds())}
-		for _, i := range a.List {
-			body.Addresses = append(body.Addresses, addressBody{Instance: i.Instance, Domain: i.Domain, Address: i.Address})
+		body := addressList{Addresses: []instanceAddress{}, Life: int(a.Life.Seconds())}
+		for _, address := range a.List {
+			body.Addresses = append(body.Addresses, instanceAddress{
+				Instance: address.Instance,
+				Domain:   address.Domain,
+				Address:  address.Address,
+			})
 		}
 		writeJSON(w, http.StatusOK, body)
 	case chain.Refused:
-		refuse(w, a.Refusal)
+		writeRefusal(w, a.Refusal)
 	case chain.Left:
 		panic(http.ErrAbortHandler)
 	default:
-		refuse(w, deny.New(deny.KindInternal, "no answer").WithExecuted(deny.ExecutedUnknown))
+		writeRefusal(w, deny.New(deny.KindInternal, "no answer").WithExecuted(deny.ExecutedUnknown))
 	}
 }
