--- a/entry/internal/boot/doc.go
+++ b/entry/internal/boot/doc.go
@@ -1,3 +1,3 @@
-// Package boot puts an entry instance together from its settings and takes it
-// down again without cutting a request.
+// Package boot starts an entry instance from its settings and stops it
+// gracefully, so that requests in progress can finish.
 package boot
--- a/entry/internal/boot/docs_test.go
+++ b/entry/internal/boot/docs_test.go
@@ -11,12 +11,12 @@
 	"github.com/spf13/pflag"
 )
 
-// root is the way from this package to the root of the repository.
-const root = "../../../"
+// repositoryRoot is the path from this package's folder to the root of the repository.
+const repositoryRoot = "../../../"
 
-// TestSettingsAreDocumented checks the table of settings against the flags.
+// TestSettingsAreDocumented checks that the operators' page lists each flag with its default and usage.
 func TestSettingsAreDocumented(t *testing.T) {
-	page, err := os.ReadFile(root + "docs/OPERATIONS.md")
+	operationsPage, err := os.ReadFile(repositoryRoot + "docs/OPERATIONS.md")
 	quicktest.New(t).Assert(err, quicktest.IsNil)
 	flags := pflag.NewFlagSet("entry", pflag.ContinueOnError)
 	new(Settings).Bind(flags)
@@ -26,25 +26,26 @@
 			if f.DefValue != "" && f.DefValue != "[]" {
 				row += "`" + f.DefValue + "`"
 			}
-			quicktest.New(t).Assert(string(page), quicktest.Contains, row+" | "+f.Usage+" |")
+			quicktest.New(t).Assert(string(operationsPage), quicktest.Contains, row+" | "+f.Usage+" |")
 		})
 	})
 }
 
-// TestMetricsAreDocumented checks that every metric in the code stands on the operators' page.
+// TestMetricsAreDocumented checks that the operators' page names every metric in the code.
 func TestMetricsAreDocumented(t *testing.T) {
 	c := quicktest.New(t)
-	page, err := os.ReadFile(root + "docs/OPERATIONS.md")
+	operationsPage, err := os.ReadFile(repositoryRoot + "docs/OPERATIONS.md")
 	c.Assert(err, quicktest.IsNil)
-	name := regexp.MustCompile("[\"`]bramleywharf_[a-z_]+")
-	err = filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
-		inProduct := strings.HasPrefix(path, root+"entry") || strings.HasPrefix(path, root+"core") || strings.HasPrefix(path, root+"platform")
-		if err != nil || d.IsDir() || !inProduct || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+	metricName := regexp.MustCompile("[\"`]bramleywharf_[a-z_]+")
+	err = filepath.WalkDir(repositoryRoot, func(path string, d os.DirEntry, err error) error {
+		isProduct := strings.HasPrefix(path, repositoryRoot+"entry") || strings.HasPrefix(path, repositoryRoot+"core") ||
+			strings.HasPrefix(path, repositoryRoot+"platform")
+		if err != nil || d.IsDir() || !isProduct || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		source, err := os.ReadFile(path)
-		for _, metric := range name.FindAllString(string(source), -1) {
-			c.Check(string(page), quicktest.Contains, strings.Trim(metric, "\"`"), quicktest.Commentf("%s", path))
+		for _, metric := range metricName.FindAllString(string(source), -1) {
+			c.Check(string(operationsPage), quicktest.Contains, strings.Trim(metric, "\"`"), quicktest.Commentf("%s", path))
 		}
 		return err
 	})
--- a/entry/internal/boot/instance.go
+++ b/entry/internal/boot/instance.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	readHeaderTimeout   = 5 * time.Second // readHeaderTimeout bounds the time that a caller may take to send its headers.
+	readHeaderTimeout   = 5 * time.Second // readHeaderTimeout bounds the time that a client may take to send its headers.
 	platformDialTimeout = time.Second     // platformDialTimeout bounds the wait for a connection to the platform.
-	maxHeader           = 32 << 10        // maxHeader bounds the headers of a request, in bytes.
+	maxHeaderBytes      = 32 << 10        // maxHeaderBytes bounds the headers of a request.
 )
 
 // Instance is a running entry instance.
 type Instance struct {
-	settings Settings
-	log      log.Interface
-	peers    *peer.Quic
-	node     *node.Node
-	front    *front.Front
-	callers  *http.Server
-	admin    *http.Server
-	leave    sync.Once
-	leaving  chan struct{}
-	failed   chan error
-	done     chan struct{}
+	settings     Settings
+	log          log.Interface
+	peers        *peer.Quic
+	node         *node.Node
+	front        *front.Front
+	callerServer *http.Server
+	adminServer  *http.Server
+	leaveOnce    sync.Once
+	leaving      chan struct{}
+	failed       chan error
+	done         chan struct{}
 }
 
-// Start starts an instance with checked settings.
+// Start starts an instance with settings that have passed Check.
 func Start(s Settings, logger log.Interface) (*Instance, error) {
 	set := metrics.NewSet()
 	i := &Instance{
@@ -54,11 +54,11 @@
 	}
 	ready := make(chan struct{})
 	var err error
-	i.peers, err = peer.NewQuic(s.PeerListen, []byte(s.FleetSecret), i.handlePeer(ready), set)
+	i.peers, err = peer.NewQuic(s.PeerListen, []byte(s.FleetSecret), i.peerHandler(ready), set)
 	if err != nil {
 		return nil, fmt.Errorf("start peer transport: %w", err)
 	}
-	i.node, err = node.New(s.node(), node.Borders{
+	i.node, err = node.New(s.nodeSettings(), node.Borders{
 		Platform: store.NewHTTP(s.Platform, s.PlatformToken, platformTransport(set)),
 		Engines:  engine.NewHTTP(set),
 		Services: engine.NewCaller(nil),
@@ -69,7 +69,7 @@
 		return nil, fmt.Errorf("start controllers: %w", err)
 	}
 	close(ready)
-	if err := i.listen(set); err != nil {
+	if err := i.startServers(set); err != nil {
 		i.stop()
 		return nil, err
 	}
@@ -81,36 +81,38 @@
 	return i.done
 }
 
-// Failed yields the error of a server that ended by itself.
+// Failed returns a channel that receives the error of a server that stopped by itself.
 func (i *Instance) Failed() <-chan error {
 	return i.failed
 }
 
-// Leave stops the instance without cutting a request: it is left out of address answers, then takes no new calls, then ends when the last call has its answer.
+// Leave starts a graceful stop and returns at once. The instance is left out of address look-ups, then refuses new
+// calls, and stops when the last call has its answer or the drain timeout has passed.
 func (i *Instance) Leave() {
-	i.leave.Do(func() {
+	i.leaveOnce.Do(func() {
 		close(i.leaving)
-		i.log.Info("leaving")
+		i.log.Info("leaving the fleet; new calls are refused after the lame-duck time")
 		go i.drain()
 	})
 }
 
-// drain lets callers find other instances, then waits for the last call.
+// drain tells the fleet that this instance is leaving, then accepts new calls for the lame-duck time, since callers
+// may still hold its address. After that it refuses new calls, waits for those in progress and stops.
 func (i *Instance) drain() {
 	i.node.Fleet.Leave()
 	time.Sleep(i.settings.LameDuck)
 	i.front.Shut()
 	ctx, cancel := context.WithTimeout(context.Background(), i.settings.DrainTimeout)
 	defer cancel()
-	if err := i.callers.Shutdown(ctx); err != nil {
-		i.log.WithError(err).Error("drain timeout passed; calls are cut")
+	if err := i.callerServer.Shutdown(ctx); err != nil {
+		i.log.WithError(err).Error("drain timeout passed; closing the remaining connections")
 	}
 	i.stop()
 	i.log.Info("stopped")
 }
 
-// handlePeer answers other instances once the controllers are there.
-func (i *Instance) handlePeer(ready <-chan struct{}) peer.Handler {
+// peerHandler returns the handler of messages from other instances, which wait until ready is closed.
+func (i *Instance) peerHandler(ready <-chan struct{}) peer.Handler {
 	return func(ctx context.Context, m wire.Message) wire.Message {
 		select {
 		case <-ready:
@@ -121,11 +123,11 @@
 	}
 }
 
-// listen starts the servers for callers and operators.
-func (i *Instance) listen(set *metrics.Set) error {
+// startServers starts the HTTP servers for callers and operators.
+func (i *Instance) startServers(set *metrics.Set) error {
 	i.front = front.New(i.node.Handle, i.node.Issuer)
-	i.callers = &http.Server{Handler: i.front, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeader}
-	operators := admin.New(admin.Parts{
+	i.callerServer = &http.Server{Handler: i.front, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
+	adminHandler := admin.New(admin.Parts{
 		Set:          set,
 		Watch:        i.node.Watch,
 		Fleet:        i.node.Fleet,
@@ -134,18 +136,18 @@
 		Leave:        i.Leave,
 		Leaving:      i.leaving,
 	})
-	i.admin = &http.Server{Handler: operators, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeader}
-	if err := i.serve(i.callers, i.settings.Listen); err != nil {
+	i.adminServer = &http.Server{Handler: adminHandler, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes}
+	if err := i.startServer(i.callerServer, i.settings.Listen); err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	if err := i.serve(i.admin, i.settings.AdminListen); err != nil {
+	if err := i.startServer(i.adminServer, i.settings.AdminListen); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
 	return nil
 }
 
-// serve starts a server on an address.
-func (i *Instance) serve(server *http.Server, address string) error {
+// startServer listens on an address and serves in the background.
+func (i *Instance) startServer(server *http.Server, address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -158,33 +160,34 @@
 	return nil
 }
 
-// platformTransport returns the transport to the platform, whose bytes are counted.
+// platformTransport returns an HTTP transport that counts the bytes to and from the platform in a metric.
 func platformTransport(set *metrics.Set) *http.Transport {
 	dial := (&net.Dialer{Timeout: platformDialTimeout}).DialContext
 	return &http.Transport{DialContext: meter.Counted(dial, set.GetOrCreateCounter("bramleywharf_platform_bytes_total"))}
 }
 
-// stop ends the servers and the node.
+// stop closes the servers, the controllers and the peer transport, cutting what is still open.
 func (i *Instance) stop() {
-	if i.admin != nil {
-		_ = i.admin.Close()
+	if i.adminServer != nil {
+		_ = i.adminServer.Close()
 	}
-	if i.callers != nil {
-		_ = i.callers.Close()
+	if i.callerServer != nil {
+		_ = i.callerServer.Close()
 	}
 	i.node.Close()
 	i.peers.Close()
 	close(i.done)
 }
 
-// node returns the settings of the instance's inside; the incarnation grows with each start.
-func (s Settings) node() node.Settings {
+// nodeSettings returns the settings of the controllers. The incarnation is the start time, so that it grows with
+// each start.
+func (s Settings) nodeSettings() node.Settings {
 	return node.Settings{
 		Self: member.Member{
 			Name:          s.Name,
 			Domain:        s.Domain,
-			CallerAddress: orElse(s.Advertise, s.Listen),
-			PeerAddress:   orElse(s.PeerAdvertise, s.PeerListen),
+			CallerAddress: orDefault(s.Advertise, s.Listen),
+			PeerAddress:   orDefault(s.PeerAdvertise, s.PeerListen),
 			Incarnation:   uint64(time.Now().UnixMilli()),
 		},
 		Secret: []byte(s.FleetSecret),
@@ -195,10 +198,10 @@
 	}
 }
 
-// orElse returns a value or, when it is empty, another.
-func orElse(value, other string) string {
+// orDefault returns the value or, if it is empty, the fallback.
+func orDefault(value, fallback string) string {
 	if value == "" {
-		return other
+		return fallback
 	}
 	return value
 }
--- a/entry/internal/boot/settings.go
+++ b/entry/internal/boot/settings.go
@@ -11,10 +11,10 @@
 	"github.com/spf13/pflag"
 )
 
-// minSecret is the least length of the fleet's secret, in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of the fleet secret.
+const minSecretBytes = 16
 
-// Settings holds the settings of an entry instance.
+// Settings holds the settings of an entry instance. The usage texts in Bind describe the fields.
 type Settings struct {
 	Name          string
 	Domain        string
@@ -36,7 +36,7 @@
 	LogLevel      string
 }
 
-// Bind adds the settings to flags with their defaults.
+// Bind adds a flag for each setting, with its default.
 func (s *Settings) Bind(flags *pflag.FlagSet) {
 	flags.StringVar(&s.Name, "name", "", "name of this instance, unique in the fleet")
 	flags.StringVar(&s.Domain, "failure-domain", "", "failure domain that this instance is in")
@@ -58,23 +58,23 @@
 	flags.StringVar(&s.LogLevel, "log-level", "info", "least level of log lines: debug, info, warn or error")
 }
 
-// Check returns every fault of the settings in one error.
+// Check returns one error that lists every invalid setting, or nil.
 func (s *Settings) Check() error {
-	var c opts.Checks
-	c.Need(decl.ValidName(s.Name), "--name %q must be lower-case letters, digits, dots and dashes", s.Name)
-	c.Need(s.Domain != "", "--failure-domain is missing")
+	var checks opts.Checks
+	checks.Need(decl.ValidName(s.Name), "--name %q must be lower-case letters, digits, dots and dashes", s.Name)
+	checks.Need(s.Domain != "", "--failure-domain is missing")
 	for flag, address := range map[string]string{"listen": s.Listen, "peer-listen": s.PeerListen, "admin-listen": s.AdminListen} {
 		_, _, err := net.SplitHostPort(address)
-		c.Need(err == nil, "--%s %q must be an address with a port", flag, address)
+		checks.Need(err == nil, "--%s %q must be an address with a port", flag, address)
 	}
-	base, err := url.Parse(s.Platform)
-	c.Need(err == nil && base.Host != "", "--platform %q must be a URL", s.Platform)
-	c.Need(len(s.FleetSecret) >= minSecret, "--fleet-secret needs at least %d bytes", minSecret)
-	hash, err := hex.DecodeString(s.OperatorHash)
-	c.Need(err == nil && len(hash) == 32, "--operator-key-hash must be 64 hexadecimal digits")
-	c.Need(s.Budget > 0, "--target-budget must be at least 1")
-	c.Need(s.Costly > 0, "--costly-after must be at least 1")
-	c.Need(s.Linger >= 0, "--linger must not be negative")
-	c.Need(s.LameDuck >= 0 && s.DrainTimeout >= 0, "--lame-duck and --drain-timeout must not be negative")
-	return c.Err()
+	platformURL, err := url.Parse(s.Platform)
+	checks.Need(err == nil && platformURL.Host != "", "--platform %q must be a URL", s.Platform)
+	checks.Need(len(s.FleetSecret) >= minSecretBytes, "--fleet-secret needs at least %d bytes", minSecretBytes)
+	operatorHash, err := hex.DecodeString(s.OperatorHash)
+	checks.Need(err == nil && len(operatorHash) == 32, "--operator-key-hash must be 64 hexadecimal digits")
+	checks.Need(s.Budget > 0, "--target-budget must be at least 1")
+	checks.Need(s.Costly > 0, "--costly-after must be at least 1")
+	checks.Need(s.Linger >= 0, "--linger must not be negative")
+	checks.Need(s.LameDuck >= 0 && s.DrainTimeout >= 0, "--lame-duck and --drain-timeout must not be negative")
+	return checks.Err()
 }
