--- a/entry/internal/admin/doc.go
+++ b/entry/internal/admin/doc.go
@@ -1,2 +1,2 @@
-// Package admin answers operators: metrics, health, status and drain.
+// Package admin serves operators over HTTP: metrics, health, status and drain.
 package admin
