--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,2 +1,3 @@
-// Entry runs an entry instance of bramleywharf.
+// Entry runs an instance of bramleywharf, which takes the requests of callers
+// and passes them on to engines and services.
 package main
--- a/entry/internal/cmds/doc.go
+++ b/entry/internal/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds is the command line of the entry instance.
+// Package cmds holds the command line of the entry program.
 package cmds
--- a/entry/internal/cmds/root.go
+++ b/entry/internal/cmds/root.go
@@ -11,13 +11,13 @@
 	"github.com/spf13/cobra"
 )
 
-// Main runs the command line and returns the exit code.
+// Main runs the program with its command-line arguments and returns the exit code.
 func Main(args []string) int {
-	return opts.Main(newRoot(), args)
+	return opts.Main(newRootCommand(), args)
 }
 
-// newRoot returns the command that runs an instance.
-func newRoot() *cobra.Command {
+// newRootCommand returns the command that runs an instance; it has no subcommands.
+func newRootCommand() *cobra.Command {
 	settings := boot.Settings{}
 	c := &cobra.Command{
 		Use:   "entry",
@@ -33,15 +33,16 @@
 then takes no new calls, and ends when its last call has its answer.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return run(c, &settings)
+			return runInstance(c, &settings)
 		},
 	}
 	settings.Bind(c.Flags())
 	return c
 }
 
-// run runs an instance until it is told to stop and has no calls left.
-func run(c *cobra.Command, settings *boot.Settings) error {
+// runInstance starts an instance and, when the command's context ends, stops it gracefully. It returns at once with
+// the error of a server that stopped by itself before that.
+func runInstance(c *cobra.Command, settings *boot.Settings) error {
 	if err := settings.Check(); err != nil {
 		return err
 	}
