--- a/stand/doc.go
+++ b/stand/doc.go
@@ -1,2 +1,2 @@
-// Stand runs stand-ins for the systems that bramleywharf meets: the platform, model engines and plain services.
+// Stand runs stand-ins for the systems around bramleywharf: the platform, model engines and plain services.
 package main
--- a/stand/engine/engine.go
+++ b/stand/engine/engine.go
@@ -9,88 +9,87 @@
 	"github.com/pkg/errors"
 )
 
-// ErrLeaving is returned by an engine that takes no new work.
+// ErrLeaving is returned by an engine that is draining and takes no new generations.
 var ErrLeaving = errors.New("engine is leaving")
 
 const (
-	maxCached   = 256             // maxCached bounds the prompt prefixes in memory.
-	keepEnded   = 2 * time.Minute // keepEnded is how long an ended generation can still be read.
-	prefixWords = 16              // prefixWords is the length of a cacheable prompt prefix, in words.
+	maxCachedPrefixes = 256
+	endedRetention    = 2 * time.Minute // endedRetention is how long an ended generation can still be read.
+	prefixWords       = 16              // prefixWords is the length of a cached prompt prefix, in words.
 )
 
 // Settings configures an engine.
 type Settings struct {
 	Name          string
 	Gap           time.Duration // Gap is the time between tokens.
-	Prefill       time.Duration // Prefill is the time to read one token.
-	Slots         int
-	IgnoreFencing bool
+	Prefill       time.Duration // Prefill is the time to read one token of the prompt or the forced prefix.
+	Slots         int           // Slots bounds the generations that run at once.
+	IgnoreFencing bool          // IgnoreFencing accepts orders with an old fencing number.
 }
 
-// Work counts what an engine has done.
+// Work is the engine's load report, the body of GET /v1/load.
 type Work struct {
-	Prefilled int      `json:"prefilled-tokens"` // Prefilled counts tokens read, without those found in the cache.
+	Prefilled int      `json:"prefilled-tokens"` // Prefilled counts the tokens read, without those of cached prompts.
 	Decoded   int      `json:"decoded-tokens"`
 	Running   int      `json:"running"`
 	Waiting   int      `json:"waiting"`
 	Slots     int      `json:"slots"`
 	Leaving   bool     `json:"leaving"`
-	Fence     uint64   `json:"fence"`
-	Models    []string `json:"models"`
+	Fence     uint64   `json:"fence"`  // Fence is the highest fencing number seen.
+	Models    []string `json:"models"` // Models are those of the last order.
 }
 
-// generation is one answer in the making.
+// generation is one answer, running or ended.
 type generation struct {
 	request Request
 	cancel  context.CancelFunc
 
-	mu      sync.Mutex
-	tokens  []string
-	ended   string // ended is the reason of the end, or empty.
-	changed chan struct{}
+	mu        sync.Mutex
+	tokens    []string      // tokens are those generated after the forced prefix.
+	endReason string        // endReason is "length" or "cancelled", or empty while the generation runs.
+	changed   chan struct{} // changed is closed and replaced at each change.
 }
 
-// batch holds the engine's generations and slots.
-type batch struct {
+// batcher runs generations in a bounded number of slots and caches prompt prefixes.
+type batcher struct {
 	settings Settings
 
-	mu          sync.Mutex
-	generations map[string]*generation
-	waiting     []*ticket
-	running     int
-	work        Work
-	cache       map[string]bool
-	cached      []string
-	events      []CacheEvent
-	leaving     bool
+	mu             sync.Mutex
+	generations    map[string]*generation // generations are by id.
+	waiters        []*waiter
+	running        int
+	load           Work // load holds token counts and the last order; report fills in the rest.
+	cachedPrefixes map[string]bool
+	cacheOrder     []string // cacheOrder holds the cached prefixes, the oldest first.
+	events         []CacheEvent
+	draining       bool
 }
 
-// ticket is a generation's place in the queue for a slot.
-type ticket struct {
+// waiter is a generation's place in the queue for a slot.
+type waiter struct {
 	priority int
-	granted  chan struct{}
+	granted  chan struct{} // granted is closed when the generation gets a slot.
 }
 
-// CacheEvent tells that a prompt prefix entered or left the cache.
+// CacheEvent says that a prompt prefix was added to the cache or evicted.
 type CacheEvent struct {
 	Sequence int    `json:"sequence"`
 	Prefix   string `json:"prefix"`
 	Added    bool   `json:"added"`
 }
 
-// newBatch returns an empty batch.
-func newBatch(s Settings) *batch {
-	return &batch{settings: s, generations: make(map[string]*generation), cache: make(map[string]bool)}
+func newBatcher(s Settings) *batcher {
+	return &batcher{settings: s, generations: make(map[string]*generation), cachedPrefixes: make(map[string]bool)}
 }
 
-// start begins a generation, or returns the running one of the same id.
-func (b *batch) start(r Request) (*generation, error) {
+// start begins a generation, or returns the existing one with the same id.
+func (b *batcher) start(r Request) (*generation, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if g, ok := b.generations[r.ID]; ok {
 		return g, nil
 	}
-	if b.leaving {
+	if b.draining {
 		return nil, ErrLeaving
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,183 +99,181 @@
 	return g, nil
 }
 
-// find returns a generation by id.
-func (b *batch) find(id string) (*generation, bool) {
+// find returns a running or recently ended generation by id.
+func (b *batcher) find(id string) (*generation, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g, ok := b.generations[id]
 	return g, ok
 }
 
-// run produces the tokens of a generation in a slot of the batch.
-func (b *batch) run(ctx context.Context, g *generation) {
-	defer time.AfterFunc(keepEnded, func() { b.drop(g.request.ID) })
-	if !b.enter(ctx, g.request.Priority) {
+// run generates the tokens once it has a slot; the ended generation is removed after endedRetention.
+func (b *batcher) run(ctx context.Context, g *generation) {
+	defer time.AfterFunc(endedRetention, func() { b.remove(g.request.ID) })
+	if !b.acquireSlot(ctx, g.request.Priority) {
 		g.end("cancelled")
 		return
 	}
-	defer b.leave()
-	if !wait.For(ctx, time.Duration(b.prefill(g.request))*b.settings.Prefill) {
+	defer b.releaseSlot()
+	if !wait.For(ctx, time.Duration(b.startPrefill(g.request))*b.settings.Prefill) {
 		g.end("cancelled")
 		return
 	}
-	var before uint64
-	for _, text := range g.request.Forced {
-		before = Extend(before, text)
+	var prefixHash uint64
+	for _, token := range g.request.Forced {
+		prefixHash = Extend(prefixHash, token)
 	}
 	for offset := len(g.request.Forced); offset < g.request.MaxTokens; offset++ {
 		if !wait.For(ctx, b.settings.Gap) {
 			g.end("cancelled")
 			return
 		}
-		var text string
-		text, before = Text(g.request, before, offset)
-		b.decoded()
-		g.add(text)
+		var token string
+		token, prefixHash = Text(g.request, prefixHash, offset)
+		b.countDecoded()
+		g.addToken(token)
 	}
 	g.end("length")
 }
 
-// decoded counts one token.
-func (b *batch) decoded() {
+func (b *batcher) countDecoded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.work.Decoded++
+	b.load.Decoded++
 }
 
-// drop forgets an ended generation.
-func (b *batch) drop(id string) {
+func (b *batcher) remove(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.generations, id)
 }
 
-// enter waits for a slot, the highest priority first.
-func (b *batch) enter(ctx context.Context, priority int) bool {
+// acquireSlot waits for a slot, which the highest priority gets first, and returns false if the context ends before.
+func (b *batcher) acquireSlot(ctx context.Context, priority int) bool {
 	b.mu.Lock()
 	if b.running < b.settings.Slots {
 		b.running++
 		b.mu.Unlock()
 		return true
 	}
-	t := &ticket{priority: priority, granted: make(chan struct{})}
-	b.waiting = append(b.waiting, t)
+	w := &waiter{priority: priority, granted: make(chan struct{})}
+	b.waiters = append(b.waiters, w)
 	b.mu.Unlock()
 	select {
-	case <-t.granted:
+	case <-w.granted:
 		return true
 	case <-ctx.Done():
-		return b.withdraw(t)
+		return b.cancelWait(w)
 	}
 }
 
-// withdraw gives up a place in the queue, or the slot that was granted meanwhile.
-func (b *batch) withdraw(t *ticket) bool {
+// cancelWait leaves the queue, or passes on the slot that was granted meanwhile; it always returns false.
+func (b *batcher) cancelWait(w *waiter) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, w := range b.waiting {
-		if w == t {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+	for i, queued := range b.waiters {
+		if queued == w {
+			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
 			return false
 		}
 	}
-	b.next()
+	b.grantNext()
 	return false
 }
 
-// leave frees a slot.
-func (b *batch) leave() {
+func (b *batcher) releaseSlot() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.next()
+	b.grantNext()
 }
 
-// next hands a free slot to the waiting generation of the highest priority.
-func (b *batch) next() {
-	if len(b.waiting) == 0 {
+// grantNext passes a freed slot to the waiter with the highest priority, if any; the caller holds b.mu.
+func (b *batcher) grantNext() {
+	if len(b.waiters) == 0 {
 		b.running--
 		return
 	}
 	best := 0
-	for i, w := range b.waiting {
-		if w.priority > b.waiting[best].priority {
+	for i, w := range b.waiters {
+		if w.priority > b.waiters[best].priority {
 			best = i
 		}
 	}
-	t := b.waiting[best]
-	b.waiting = append(b.waiting[:best], b.waiting[best+1:]...)
-	close(t.granted)
+	chosen := b.waiters[best]
+	b.waiters = append(b.waiters[:best], b.waiters[best+1:]...)
+	close(chosen.granted)
 }
 
-// prefill returns how many tokens must be read and brings the prompt's prefix into the cache.
-func (b *batch) prefill(r Request) int {
+// startPrefill returns the number of tokens to read and caches the prompt's prefix.
+// If the prefix is cached already, the whole prompt is taken as read.
+func (b *batcher) startPrefill(r Request) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	read := PromptTokens(r.Prompt) + len(r.Forced)
+	tokens := PromptTokens(r.Prompt) + len(r.Forced)
 	prefix := Prefix(r.Prompt)
-	if b.cache[prefix] {
-		read -= PromptTokens(r.Prompt)
+	if b.cachedPrefixes[prefix] {
+		tokens -= PromptTokens(r.Prompt)
 	} else {
-		b.remember(prefix)
+		b.cachePrefix(prefix)
 	}
-	b.work.Prefilled += read
-	return read
+	b.load.Prefilled += tokens
+	return tokens
 }
 
-// remember caches a prefix in place of the oldest.
-func (b *batch) remember(prefix string) {
-	if len(b.cached) == maxCached {
-		b.note(b.cached[0], false)
-		delete(b.cache, b.cached[0])
-		b.cached = b.cached[1:]
+// cachePrefix adds a prefix to the cache and evicts the oldest if the cache is full.
+func (b *batcher) cachePrefix(prefix string) {
+	if len(b.cacheOrder) == maxCachedPrefixes {
+		b.recordCacheEvent(b.cacheOrder[0], false)
+		delete(b.cachedPrefixes, b.cacheOrder[0])
+		b.cacheOrder = b.cacheOrder[1:]
 	}
-	b.cache[prefix] = true
-	b.cached = append(b.cached, prefix)
-	b.note(prefix, true)
+	b.cachedPrefixes[prefix] = true
+	b.cacheOrder = append(b.cacheOrder, prefix)
+	b.recordCacheEvent(prefix, true)
 }
 
-// note records a cache event.
-func (b *batch) note(prefix string, added bool) {
+func (b *batcher) recordCacheEvent(prefix string, added bool) {
 	b.events = append(b.events, CacheEvent{Sequence: len(b.events) + 1, Prefix: prefix, Added: added})
 }
 
-// report returns the counts of work.
-func (b *batch) report() Work {
+// report returns the current load.
+func (b *batcher) report() Work {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.work
+	w := b.load
 	w.Running = b.running
-	w.Waiting = len(b.waiting)
+	w.Waiting = len(b.waiters)
 	w.Slots = b.settings.Slots
-	w.Leaving = b.leaving
+	w.Leaving = b.draining
 	return w
 }
 
-// add appends a token and wakes the readers.
-func (g *generation) add(text string) {
+// addToken appends a token and wakes the readers.
+func (g *generation) addToken(token string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tokens = append(g.tokens, text)
+	g.tokens = append(g.tokens, token)
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// end closes a generation and wakes the readers.
+// end records why the generation ended and wakes the readers.
 func (g *generation) end(reason string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ended = reason
+	g.endReason = reason
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// after returns the tokens from an offset on, the reason of the end or empty, and the channel that closes on news.
-func (g *generation) after(offset int) ([]string, string, <-chan struct{}) {
+// tokensFrom returns the tokens from an offset of the answer on, the end reason or empty, and a channel that is closed
+// at the next change.
+func (g *generation) tokensFrom(offset int) ([]string, string, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at := offset - len(g.request.Forced)
-	if at < 0 || at > len(g.tokens) {
-		return nil, g.ended, g.changed
+	index := offset - len(g.request.Forced)
+	if index < 0 || index > len(g.tokens) {
+		return nil, g.endReason, g.changed
 	}
-	return g.tokens[at:len(g.tokens):len(g.tokens)], g.ended, g.changed
+	return g.tokens[index:len(g.tokens):len(g.tokens)], g.endReason, g.changed
 }
--- a/stand/engine/text.go
+++ b/stand/engine/text.go
@@ -13,37 +13,37 @@
 	Adapter   string   `json:"adapter,omitempty"`
 	Version   string   `json:"version"`
 	Prompt    string   `json:"prompt"`
-	Forced    []string `json:"forced,omitempty"`
+	Forced    []string `json:"forced,omitempty"` // Forced is the start of the answer, which is not generated again.
 	Seed      uint64   `json:"seed"`
-	MaxTokens int      `json:"max-tokens"`
+	MaxTokens int      `json:"max-tokens"` // MaxTokens bounds the answer, forced tokens included.
 	Priority  int      `json:"priority"`
 }
 
-// words are the pieces that answers are made of.
-func words() []string {
+// vocabulary returns the tokens that answers are made of.
+func vocabulary() []string {
 	return []string{
 		"crest ", "stud ", "sole ", "lace ", "navy ", "white ", "name ", "number ", "menu ", "lunch ",
 		"roll ", "salad ", "fruit ", "nuts ", "none ", "for ", "with ", "and ", "on ", "the ",
 	}
 }
 
-// Text returns the token at an offset, given a hash of everything before it.
-func Text(r Request, before uint64, offset int) (text string, after uint64) {
+// Text returns the token at an offset, given the hash of the answer before it, and the hash of the answer with it.
+func Text(r Request, prefixHash uint64, offset int) (token string, nextHash uint64) {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s/%s/%s/%d/%s/%d/%d", r.Model, r.Adapter, r.Version, r.Seed, r.Prompt, before, offset)
-	list := words()
-	text = list[h.Sum64()%uint64(len(list))]
-	return text, Extend(before, text)
+	_, _ = fmt.Fprintf(h, "%s/%s/%s/%d/%s/%d/%d", r.Model, r.Adapter, r.Version, r.Seed, r.Prompt, prefixHash, offset)
+	tokens := vocabulary()
+	token = tokens[h.Sum64()%uint64(len(tokens))]
+	return token, Extend(prefixHash, token)
 }
 
-// Extend adds a token to the hash of a text.
-func Extend(before uint64, text string) uint64 {
+// Extend returns the hash of an answer after one more token.
+func Extend(prefixHash uint64, token string) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%d/%s", before, text)
+	_, _ = fmt.Fprintf(h, "%d/%s", prefixHash, token)
 	return h.Sum64()
 }
 
-// PromptTokens counts the tokens of a prompt as its words.
+// PromptTokens counts the tokens of a prompt, one per word.
 func PromptTokens(prompt string) int {
 	return len(strings.Fields(prompt))
 }
--- a/stand/internal/cmds/doc.go
+++ b/stand/internal/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds is the command line of the stand-ins.
+// Package cmds implements the command line of the stand-ins.
 package cmds
--- a/stand/internal/cmds/engine.go
+++ b/stand/internal/cmds/engine.go
@@ -7,8 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newEngine returns the command that runs a model engine stand-in.
-func newEngine() *cobra.Command {
+func newEngineCommand() *cobra.Command {
 	var address string
 	settings := engine.Settings{}
 	c := &cobra.Command{
--- a/stand/internal/cmds/platform.go
+++ b/stand/internal/cmds/platform.go
@@ -7,8 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newPlatform returns the command that runs the platform stand-in.
-func newPlatform() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	var address string
 	settings := plat.Settings{}
 	c := &cobra.Command{
--- a/stand/internal/cmds/root.go
+++ b/stand/internal/cmds/root.go
@@ -16,20 +16,19 @@
 
 // Main runs the command line and returns the exit code.
 func Main(args []string) int {
-	return opts.Main(newRoot(), args)
+	return opts.Main(newRootCommand(), args)
 }
 
-// newRoot returns the root command.
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "stand",
 		Short: "Stand-ins for the platform, model engines and plain services",
 	}
-	root.AddCommand(newEngine(), newPlatform(), newService())
+	root.AddCommand(newEngineCommand(), newPlatformCommand(), newServiceCommand())
 	return root
 }
 
-// serve answers HTTP on an address until the context ends.
+// serve serves HTTP on an address until the context ends, then closes open connections.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/stand/internal/cmds/service.go
+++ b/stand/internal/cmds/service.go
@@ -7,8 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newService returns the command that runs a plain service stand-in.
-func newService() *cobra.Command {
+func newServiceCommand() *cobra.Command {
 	var address, name string
 	var delay time.Duration
 	c := &cobra.Command{
--- a/stand/plat/server.go
+++ b/stand/plat/server.go
@@ -15,63 +15,63 @@
 	"golang.org/x/time/rate"
 )
 
-// maxWait bounds the time that a watch may wait.
+// maxWait bounds how long a watch waits for a change.
 const maxWait = time.Minute
 
-// Settings configures the stand-in.
+// Settings configures the stand-in; rates are in calls per second, and 0 is unlimited.
 type Settings struct {
-	Token   string
-	ListLag time.Duration
-	Reads   float64 // Reads is the calls a second, watches included.
+	Token   string        // Token is the bearer token that callers must send; empty accepts every caller.
+	ListLag time.Duration // ListLag is the time until the list shows a registered instance.
+	Reads   float64       // Reads is the rate of reads, watches included.
 	Writes  float64
-	Weights float64
+	Weights float64 // Weights is the rate at which weights are loaded.
 }
 
-// Server is the platform stand-in.
+// Server serves the platform's HTTP API.
 type Server struct {
-	settings Settings
-	objects  *store.Memory
-	mux      *http.ServeMux
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	weights  *rate.Limiter
+	settings      Settings
+	objects       *store.Memory
+	mux           *http.ServeMux
+	readLimiter   *rate.Limiter
+	writeLimiter  *rate.Limiter
+	weightLimiter *rate.Limiter
 
 	mu        sync.Mutex
-	instances map[string]store.Instance
+	instances map[string]store.Instance // instances holds the listed instances by name.
 }
 
 // New returns a platform without objects.
 func New(s Settings) *Server {
 	p := &Server{
-		settings:  s,
-		objects:   store.NewMemory(),
-		mux:       http.NewServeMux(),
-		reads:     limiter(s.Reads),
-		writes:    limiter(s.Writes),
-		weights:   limiter(s.Weights),
-		instances: make(map[string]store.Instance),
-	}
-	p.mux.HandleFunc("GET /v1/objects", p.read(p.list))
-	p.mux.HandleFunc("GET /v1/objects/{kind}/{name}", p.read(p.get))
+		settings:      s,
+		objects:       store.NewMemory(),
+		mux:           http.NewServeMux(),
+		readLimiter:   newLimiter(s.Reads),
+		writeLimiter:  newLimiter(s.Writes),
+		weightLimiter: newLimiter(s.Weights),
+		instances:     make(map[string]store.Instance),
+	}
+	p.mux.HandleFunc("GET /v1/objects", p.readHandler(p.list))
+	p.mux.HandleFunc("GET /v1/objects/{kind}/{name}", p.readHandler(p.get))
 	p.mux.HandleFunc("PUT /v1/objects/{kind}/{name}", p.put)
-	p.mux.HandleFunc("GET /v1/changes", p.read(p.changes))
-	p.mux.HandleFunc("GET /v1/instances", p.read(p.listInstances))
+	p.mux.HandleFunc("GET /v1/changes", p.readHandler(p.waitForChanges))
+	p.mux.HandleFunc("GET /v1/instances", p.readHandler(p.listInstances))
 	p.mux.HandleFunc("PUT /v1/instances/{name}", p.putInstance)
-	p.mux.HandleFunc("GET /v1/weights/{model}", p.weight)
+	p.mux.HandleFunc("GET /v1/weights/{model}", p.loadWeights)
 	p.mux.HandleFunc("PUT /v1/fault/{fault}", p.setFault)
 	p.mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	return p
 }
 
-// limiter allows a rate a second with a burst of one second.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter allows a rate with a burst of one second's calls; a rate of 0 or less is unlimited.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// ServeHTTP answers a call that shows the token.
+// ServeHTTP implements http.Handler; it rejects calls without the token.
 func (p *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if p.settings.Token != "" && r.Header.Get("Authorization") != "Bearer "+p.settings.Token {
 		http.Error(w, "wrong token", http.StatusUnauthorized)
@@ -80,8 +80,8 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// changes waits for changes.
-func (p *Server) changes(ctx context.Context, r *http.Request) (any, error) {
+// waitForChanges returns the objects changed after a revision, and waits if there are none yet.
+func (p *Server) waitForChanges(ctx context.Context, r *http.Request) (any, error) {
 	after, err := strconv.ParseUint(r.FormValue("after"), 10, 64)
 	if err != nil {
 		return nil, errors.New("after must be a revision")
@@ -93,24 +93,23 @@
 	return p.objects.Changes(ctx, strings.Split(r.FormValue("kinds"), ","), after, min(wait, maxWait))
 }
 
-// get answers one object.
 func (p *Server) get(ctx context.Context, r *http.Request) (any, error) {
 	return p.objects.Get(ctx, r.PathValue("kind"), r.PathValue("name"))
 }
 
-// list answers all objects of some kinds.
+// list returns all objects of the kinds in the query.
 func (p *Server) list(ctx context.Context, r *http.Request) (any, error) {
 	return p.objects.List(ctx, strings.Split(r.FormValue("kinds"), ","))
 }
 
-// listInstances answers the lagging list.
+// listInstances returns the instances whose lag has passed.
 func (p *Server) listInstances(ctx context.Context, _ *http.Request) (any, error) {
 	return p.objects.Instances(ctx)
 }
 
-// put writes an object under its condition.
+// put writes an object if its stored revision is the expected one.
 func (p *Server) put(w http.ResponseWriter, r *http.Request) {
-	if !p.writes.Allow() {
+	if !p.writeLimiter.Allow() {
 		http.Error(w, "too many writes", http.StatusTooManyRequests)
 		return
 	}
@@ -125,16 +124,16 @@
 		return
 	}
 	o.Kind, o.Name = r.PathValue("kind"), r.PathValue("name")
-	if o.Revision, err = condition(r); err != nil {
+	if o.Revision, err = expectedRevision(r); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	o.Revision, err = p.objects.Put(r.Context(), o)
-	p.finish(w, o, err)
+	p.respond(w, o, err)
 }
 
-// condition returns the revision that a write expects.
-func condition(r *http.Request) (uint64, error) {
+// expectedRevision returns the revision that a write expects, or 0 if the object must not exist.
+func expectedRevision(r *http.Request) (uint64, error) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, nil
 	}
@@ -149,44 +148,44 @@
 	return revision, nil
 }
 
-// putInstance tells the platform of an instance; the list shows it after the lag.
+// putInstance registers an instance; the list shows it after the lag.
 func (p *Server) putInstance(w http.ResponseWriter, r *http.Request) {
-	var i store.Instance
-	if err := json.NewDecoder(r.Body).Decode(&i); err != nil {
+	var instance store.Instance
+	if err := json.NewDecoder(r.Body).Decode(&instance); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	i.Name = r.PathValue("name")
-	time.AfterFunc(p.settings.ListLag, func() { p.show(i) })
+	instance.Name = r.PathValue("name")
+	time.AfterFunc(p.settings.ListLag, func() { p.addToList(instance) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// show brings an instance into the list.
-func (p *Server) show(i store.Instance) {
+// addToList adds an instance to the list or replaces the one of its name.
+func (p *Server) addToList(instance store.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.instances[i.Name] = i
+	p.instances[instance.Name] = instance
 	list := make([]store.Instance, 0, len(p.instances))
-	for _, known := range p.instances {
-		list = append(list, known)
+	for _, listed := range p.instances {
+		list = append(list, listed)
 	}
 	p.objects.SetInstances(list)
 }
 
-// read answers a reading call within the rate of reads.
-func (p *Server) read(answer func(context.Context, *http.Request) (any, error)) http.HandlerFunc {
+// readHandler returns a handler that makes a read call, unless the rate of reads is exceeded.
+func (p *Server) readHandler(call func(context.Context, *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !p.reads.Allow() {
+		if !p.readLimiter.Allow() {
 			http.Error(w, "too many reads", http.StatusTooManyRequests)
 			return
 		}
-		value, err := answer(r.Context(), r)
-		p.finish(w, value, err)
+		value, err := call(r.Context(), r)
+		p.respond(w, value, err)
 	}
 }
 
-// finish writes a value or the status of an error; a lost answer closes the connection.
-func (p *Server) finish(w http.ResponseWriter, value any, err error) {
+// respond writes a value or the status of an error; for ErrUncertain it closes the connection without an answer.
+func (p *Server) respond(w http.ResponseWriter, value any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -204,7 +203,7 @@
 	}
 }
 
-// setFault changes how the object API fails.
+// setFault makes the object API fail as the path says.
 func (p *Server) setFault(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("fault")
 	fault, ok := faultByName(name)
@@ -216,7 +215,6 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// faultByName returns the fault of a name used over HTTP.
 func faultByName(name string) (store.Fault, bool) {
 	switch name {
 	case "none":
@@ -234,9 +232,9 @@
 	}
 }
 
-// weight answers a load of weights within the store's rate.
-func (p *Server) weight(w http.ResponseWriter, r *http.Request) {
-	if !p.weights.Allow() {
+// loadWeights answers a load of a model's weights, unless the rate of loads is exceeded; it sends no weights.
+func (p *Server) loadWeights(w http.ResponseWriter, r *http.Request) {
+	if !p.weightLimiter.Allow() {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "weight store is busy", http.StatusTooManyRequests)
 		return
