--- a/wharfctl/internal/cmds/apply.go
+++ b/wharfctl/internal/cmds/apply.go
@@ -14,8 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newApply returns the command that applies declaration files.
-func newApply(a *app) *cobra.Command {
+func newApplyCommand(a *app) *cobra.Command {
 	var dryRun bool
 	c := &cobra.Command{
 		Use:   "apply FILE...",
@@ -38,13 +37,13 @@
 	return c
 }
 
-// apply writes the objects that differ from what stands.
+// apply writes the objects that differ from those in the platform, each with a record in the audit trail.
 func (a *app) apply(ctx context.Context, declared []decl.Declared, dryRun bool) error {
 	trail, s, err := a.trail()
 	if err != nil {
 		return err
 	}
-	changed := 0
+	differing := 0
 	for _, d := range declared {
 		o, err := s.Get(ctx, d.Key.Kind, d.Key.Name)
 		if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -53,21 +52,20 @@
 		if err == nil && sameJSON(o.Value, d.Raw) {
 			continue
 		}
-		changed++
-		a.lines(fmt.Sprintf("%s/%s: %s -> %s", d.Key.Kind, d.Key.Name, orNone(o.Value), d.Raw))
+		differing++
+		a.printLines(fmt.Sprintf("%s/%s: %s -> %s", d.Key.Kind, d.Key.Name, orNone(o.Value), d.Raw))
 		if dryRun {
 			continue
 		}
 		next := store.Object{Kind: d.Key.Kind, Name: d.Key.Name, Revision: o.Revision, Value: d.Raw}
-		if _, err := trail.Change(ctx, a.who, next, []string{string(d.Raw)}); err != nil {
+		if _, err := trail.Change(ctx, a.actor, next, []string{string(d.Raw)}); err != nil {
 			return fmt.Errorf("write %s/%s: %w", d.Key.Kind, d.Key.Name, err)
 		}
 	}
-	a.lines(fmt.Sprintf("%d of %d objects differ", changed, len(declared)))
+	a.printLines(fmt.Sprintf("%d of %d objects differ", differing, len(declared)))
 	return nil
 }
 
-// orNone returns the text of a value, or a word for none.
 func orNone(value []byte) string {
 	if len(value) == 0 {
 		return "none"
@@ -75,12 +73,12 @@
 	return string(value)
 }
 
-// parseFiles reads and checks all files.
+// parseFiles returns the objects of all files by kind and name, or one error that lists every fault.
 func parseFiles(names []string) ([]decl.Declared, error) {
 	var declared []decl.Declared
 	var faults []string
 	for _, name := range names {
-		text, err := readFile(name)
+		text, err := readInput(name)
 		if err != nil {
 			return nil, err
 		}
@@ -99,7 +97,7 @@
 	return declared, nil
 }
 
-// sameJSON tells whether two encodings hold the same text apart from white space.
+// sameJSON reports whether two encodings are equal apart from white space; invalid JSON equals nothing.
 func sameJSON(a, b json.RawMessage) bool {
 	var left, right bytes.Buffer
 	if json.Compact(&left, a) != nil || json.Compact(&right, b) != nil {
--- a/wharfctl/internal/cmds/doc.go
+++ b/wharfctl/internal/cmds/doc.go
@@ -1,2 +1,2 @@
-// Package cmds is the operators' command line, one file for each subcommand.
+// Package cmds implements the operators' command line.
 package cmds
--- a/wharfctl/internal/cmds/explain.go
+++ b/wharfctl/internal/cmds/explain.go
@@ -16,54 +16,52 @@
 	"github.com/spf13/cobra"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// errUnseen is returned when no line names the request.
-var errUnseen = errors.New("no line names the request")
+var errRequestNotFound = errors.New("no line names the request")
 
-// line is one line of an instance's log.
-type line struct {
+// logLine is one line of an instance's log.
+type logLine struct {
 	Fields  map[string]any `json:"fields"`
 	Level   string         `json:"level"`
 	Time    time.Time      `json:"timestamp"`
 	Message string         `json:"message"`
 }
 
-// newExplain returns the command that tells the story of one request.
-func newExplain(a *app) *cobra.Command {
+// newExplainCommand returns the command that prints what the logs say of one request.
+func newExplainCommand(a *app) *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST [LOG...]",
 		Short: "Tell the story of one request from the logs of instances, or from standard input",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			story, unread, err := readStory(args[0], args[1:], c.InOrStdin())
+			timeline, malformed, err := readTimeline(args[0], args[1:], c.InOrStdin())
 			if err != nil {
 				return err
 			}
-			if len(story) == 0 {
-				return fmt.Errorf("%w: %s (%d lines could not be read)", errUnseen, args[0], unread)
+			if len(timeline) == 0 {
+				return fmt.Errorf("%w: %s (%d lines could not be read)", errRequestNotFound, args[0], malformed)
 			}
-			if a.output == formatJSON {
-				return json.NewEncoder(a.out).Encode(story)
+			if a.format == formatJSON {
+				return json.NewEncoder(a.out).Encode(timeline)
 			}
-			tell(a.out, story)
+			printTimeline(a.out, timeline)
 			return nil
 		},
 	}
 }
 
-// readStory returns the lines that name a request, in the order of their times, and the number of lines that could not be read.
-func readStory(request string, logs []string, in io.Reader) ([]line, int, error) {
-	var story []line
-	unread := 0
-	take := func(r io.Reader) error {
-		lines, bad, err := readLines(request, r)
-		story, unread = append(story, lines...), unread+bad
+// readTimeline returns the lines of all logs that name a request, sorted by time, and the number of malformed lines.
+func readTimeline(requestID string, logs []string, stdin io.Reader) ([]logLine, int, error) {
+	var timeline []logLine
+	malformed := 0
+	collect := func(r io.Reader) error {
+		found, n, err := readLines(requestID, r)
+		timeline, malformed = append(timeline, found...), malformed+n
 		return err
 	}
 	if len(logs) == 0 {
-		if err := take(in); err != nil {
+		if err := collect(stdin); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -72,49 +70,50 @@
 		if err != nil {
 			return nil, 0, fmt.Errorf("open log: %w", err)
 		}
-		err = take(f)
+		err = collect(f)
 		_ = f.Close()
 		if err != nil {
 			return nil, 0, fmt.Errorf("read log %s: %w", name, err)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b line) int { return a.Time.Compare(b.Time) })
-	return story, unread, nil
+	slices.SortStableFunc(timeline, func(a, b logLine) int { return a.Time.Compare(b.Time) })
+	return timeline, malformed, nil
 }
 
-// readLines returns the lines of a log that name a request; what stands before the first brace is passed over.
-func readLines(request string, r io.Reader) (found []line, unread int, err error) {
+// readLines returns the lines of one log that name a request. It ignores text before the first brace, such as a prefix
+// added by a log collector. Only lines that contain the request's id count as malformed.
+func readLines(requestID string, r io.Reader) (found []logLine, malformed int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		raw := scanner.Bytes()
-		if !bytes.Contains(raw, []byte(request)) {
+		if !bytes.Contains(raw, []byte(requestID)) {
 			continue
 		}
-		var l line
+		var l logLine
 		if err := json.Unmarshal(raw[max(0, bytes.IndexByte(raw, '{')):], &l); err != nil {
-			unread++
+			malformed++
 			continue
 		}
-		if l.Fields["request"] == request {
+		if l.Fields["request"] == requestID {
 			found = append(found, l)
 		}
 	}
-	return found, unread, scanner.Err()
+	return found, malformed, scanner.Err()
 }
 
-// tell prints a story, and its cause in the last line.
-func tell(out io.Writer, story []line) {
-	first := story[0].Time
-	for _, l := range story {
-		_, _ = fmt.Fprintf(out, "%8.3f s  %-12v %s%s\n", l.Time.Sub(first).Seconds(), l.Fields["instance"], l.Message, details(l.Fields))
+// printTimeline prints the lines with their times since the first, then the cause of the outcome.
+func printTimeline(out io.Writer, timeline []logLine) {
+	first := timeline[0].Time
+	for _, l := range timeline {
+		_, _ = fmt.Fprintf(out, "%8.3f s  %-12v %s%s\n", l.Time.Sub(first).Seconds(), l.Fields["instance"], l.Message, formatFields(l.Fields))
 	}
-	last := story[len(story)-1]
-	_, _ = fmt.Fprintf(out, "cause: %s\n", cause(story, last))
+	last := timeline[len(timeline)-1]
+	_, _ = fmt.Fprintf(out, "cause: %s\n", describeCause(timeline, last))
 }
 
-// details returns the fields of a line, sorted, without those that every line of the story has.
-func details(fields map[string]any) string {
+// formatFields returns the fields of a line, sorted by name; it leaves out empty ones, request, instance and source.
+func formatFields(fields map[string]any) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		switch value := fields[name]; {
@@ -126,12 +125,13 @@
 	return b.String()
 }
 
-// cause returns what the end of a story rests on: the last line's own cause, or that of the last line before that has one.
-func cause(story []line, last line) string {
-	for i := len(story) - 1; i >= 0; i-- {
+// describeCause returns the last message with the error or cause of the latest earlier line that has one, otherwise
+// with its own cause. A single line counts as its own earlier line.
+func describeCause(timeline []logLine, last logLine) string {
+	for i := len(timeline) - 1; i >= 0; i-- {
 		for _, name := range []string{"error", "cause"} {
-			if value, ok := story[i].Fields[name]; ok && (i < len(story)-1 || len(story) == 1) {
-				return fmt.Sprintf("%s, after %s: %v", last.Message, story[i].Message, value)
+			if value, ok := timeline[i].Fields[name]; ok && (i < len(timeline)-1 || len(timeline) == 1) {
+				return fmt.Sprintf("%s, after %s: %v", last.Message, timeline[i].Message, value)
 			}
 		}
 	}
--- a/wharfctl/internal/cmds/hash.go
+++ b/wharfctl/internal/cmds/hash.go
@@ -9,14 +9,14 @@
 	"github.com/spf13/cobra"
 )
 
-// newHash returns the command that hashes a key for a declaration or a setting.
-func newHash(a *app) *cobra.Command {
+// newHashCommand returns the command that hashes a key, trimmed of white space, for a declaration or a setting.
+func newHashCommand(a *app) *cobra.Command {
 	return &cobra.Command{
 		Use:   "hash FILE",
 		Short: "Print the hash of the key in a file, or of standard input for a dash",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			key, err := readFile(args[0])
+			key, err := readInput(args[0])
 			if err != nil {
 				return err
 			}
--- a/wharfctl/internal/cmds/root.go
+++ b/wharfctl/internal/cmds/root.go
@@ -19,11 +19,11 @@
 // Exit codes.
 const (
 	exitOK       = 0
-	exitFault    = 1 // exitFault is any fault without a code of its own.
-	exitUsage    = 2 // exitUsage is a wrong use of the command line.
-	exitRejected = 3 // exitRejected is a sheet or declaration that cannot stand.
-	exitConflict = 4 // exitConflict is a change based on a version that no longer stands.
-	exitUnknown  = 5 // exitUnknown is a platform that cannot be reached or gives no answer.
+	exitFault    = 1 // exitFault is any error without a code of its own.
+	exitUsage    = 2 // exitUsage is a wrong flag, setting or argument.
+	exitRejected = 3 // exitRejected is a sheet or declaration that was rejected.
+	exitConflict = 4 // exitConflict is a change based on a revision that is no longer current.
+	exitNoAnswer = 5 // exitNoAnswer is a platform that is unreachable or does not answer.
 )
 
 // Errors that decide the exit code.
@@ -38,29 +38,28 @@
 	formatJSON  = "json"
 )
 
-// app holds what all subcommands share.
+// app holds the output and the flags that all subcommands share.
 type app struct {
 	out           io.Writer
-	platform      string
+	platformURL   string
 	platformToken string
 	operatorKey   string
-	output        string
-	who           string
+	format        string
+	actor         string // actor is the name that the audit trail records.
 }
 
 // Main runs the command line and returns the exit code.
-func Main(args []string, out, errOut io.Writer) int {
-	root := newRoot(&app{out: out})
+func Main(args []string, out, errorOut io.Writer) int {
+	root := newRootCommand(&app{out: out})
 	root.SetOut(out)
-	root.SetErr(errOut)
+	root.SetErr(errorOut)
 	err := opts.Execute(root, args)
 	if err != nil {
-		_, _ = fmt.Fprintln(errOut, "wharfctl:", err)
+		_, _ = fmt.Fprintln(errorOut, "wharfctl:", err)
 	}
 	return exitCode(err)
 }
 
-// exitCode returns the exit code that an error stands for.
 func exitCode(err error) int {
 	switch {
 	case err == nil:
@@ -70,7 +69,7 @@
 	case errors.Is(err, store.ErrConflict):
 		return exitConflict
 	case errors.Is(err, store.ErrUncertain), errors.Is(err, store.ErrDown):
-		return exitUnknown
+		return exitNoAnswer
 	case errors.Is(err, errUsage), errors.Is(err, opts.ErrInvalid):
 		return exitUsage
 	default:
@@ -78,8 +77,7 @@
 	}
 }
 
-// newRoot returns the root command.
-func newRoot(a *app) *cobra.Command {
+func newRootCommand(a *app) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "wharfctl",
 		Short: "Operate bramleywharf",
@@ -92,51 +90,50 @@
 			if err := opts.ReadEnv(c.Flags()); err != nil {
 				return err
 			}
-			return a.check()
+			return a.checkFlags()
 		},
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
 		return fmt.Errorf("%w: %w; see --help", errUsage, err)
 	})
 	flags := root.PersistentFlags()
-	flags.StringVar(&a.platform, "platform", "", "base URL of the platform's object API")
+	flags.StringVar(&a.platformURL, "platform", "", "base URL of the platform's object API")
 	flags.StringVar(&a.platformToken, "platform-token", "", "bearer token for the platform")
 	flags.StringVar(&a.operatorKey, "operator-key", "", "key that instances know operators by")
-	flags.StringVar(&a.output, "output", formatTable, "table for people or json for programs")
-	flags.StringVar(&a.who, "as", os.Getenv("USER"), "name that the audit trail records")
-	root.AddCommand(newApply(a), newDrain(a), newExplain(a), newHash(a), newSheet(a), newStatus(a))
+	flags.StringVar(&a.format, "output", formatTable, "table for people or json for programs")
+	flags.StringVar(&a.actor, "as", os.Getenv("USER"), "name that the audit trail records")
+	root.AddCommand(newApplyCommand(a), newDrainCommand(a), newExplainCommand(a), newHashCommand(a),
+		newSheetCommand(a), newStatusCommand(a))
 	return root
 }
 
-// check judges the settings that all subcommands share.
-func (a *app) check() error {
+// checkFlags checks the flags that all subcommands share.
+func (a *app) checkFlags() error {
 	var c opts.Checks
-	c.Need(a.output == formatTable || a.output == formatJSON, "--output %q must be table or json", a.output)
+	c.Need(a.format == formatTable || a.format == formatJSON, "--output %q must be table or json", a.format)
 	return c.Err()
 }
 
-// json writes a value for programs.
-func (a *app) json(value any) error {
+func (a *app) printJSON(value any) error {
 	e := json.NewEncoder(a.out)
 	e.SetIndent("", "  ")
 	return e.Encode(value)
 }
 
-// lines writes lines for people.
-func (a *app) lines(lines ...string) {
+func (a *app) printLines(lines ...string) {
 	_, _ = fmt.Fprintln(a.out, strings.Join(lines, "\n"))
 }
 
-// store returns the platform.
+// store returns a client of the platform's object API.
 func (a *app) store() (store.Store, error) {
-	if a.platform == "" {
+	if a.platformURL == "" {
 		return nil, fmt.Errorf("%w: --platform is missing", errUsage)
 	}
-	return store.NewHTTP(a.platform, a.platformToken, http.DefaultTransport), nil
+	return store.NewHTTP(a.platformURL, a.platformToken, http.DefaultTransport), nil
 }
 
-// table writes rows for people under a heading.
-func (a *app) table(heading string, rows [][]string) error {
+// printTable prints rows in aligned columns under a heading of tab-separated titles.
+func (a *app) printTable(heading string, rows [][]string) error {
 	w := tabwriter.NewWriter(a.out, 0, 8, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, heading)
 	for _, row := range rows {
@@ -148,13 +145,13 @@
 	return nil
 }
 
-// trail returns the audit trail and the platform behind it.
+// trail returns the audit trail and the store that holds it.
 func (a *app) trail() (*audit.Trail, store.Store, error) {
 	s, err := a.store()
 	if err != nil {
 		return nil, nil, err
 	}
-	if a.who == "" {
+	if a.actor == "" {
 		return nil, nil, fmt.Errorf("%w: --as is missing; the audit trail needs a name", errUsage)
 	}
 	return audit.NewTrail(s), s, nil
--- a/wharfctl/internal/cmds/sheet.go
+++ b/wharfctl/internal/cmds/sheet.go
@@ -18,27 +18,25 @@
 	"github.com/spf13/cobra"
 )
 
-// pushBound bounds one push, the settling of a lost answer included.
-const pushBound = 15 * time.Second
+// pushTimeout bounds one push, including reads that find out whether an unanswered write took effect.
+const pushTimeout = 15 * time.Second
 
-// proposal is a sheet that may be pushed, and what it would change.
+// proposal is a checked sheet that may be pushed, and what it would change.
 type proposal struct {
 	Member  string   `json:"member"`
-	Base    uint64   `json:"base"`
+	Base    uint64   `json:"base"` // Base is the revision that the sheet replaces, or 0.
 	Date    string   `json:"date"`
 	Changes []string `json:"changes"`
 	object  store.Object
 }
 
-// newSheet returns the command that handles sheets.
-func newSheet(a *app) *cobra.Command {
+func newSheetCommand(a *app) *cobra.Command {
 	c := &cobra.Command{Use: "sheet", Short: "Push and show the members' sheets"}
-	c.AddCommand(newSheetDryRun(a), newSheetHistory(a), newSheetPush(a), newSheetShow(a))
+	c.AddCommand(newSheetDryRunCommand(a), newSheetHistoryCommand(a), newSheetPushCommand(a), newSheetShowCommand(a))
 	return c
 }
 
-// newSheetDryRun returns the command that shows what a push would change.
-func newSheetDryRun(a *app) *cobra.Command {
+func newSheetDryRunCommand(a *app) *cobra.Command {
 	return &cobra.Command{
 		Use:   "dry-run MEMBER FILE",
 		Short: "Check a sheet and show what pushing it would change",
@@ -52,13 +50,13 @@
 			if err != nil {
 				return err
 			}
-			return a.showProposal(p, fmt.Sprintf("would replace revision %d; push with --base %d", p.Base, p.Base))
+			return a.printProposal(p, fmt.Sprintf("would replace revision %d; push with --base %d", p.Base, p.Base))
 		},
 	}
 }
 
-// newSheetHistory returns the command that shows the audit trail of a member's sheet.
-func newSheetHistory(a *app) *cobra.Command {
+// newSheetHistoryCommand returns the command that shows the audit trail of one member's sheet, or of all sheets.
+func newSheetHistoryCommand(a *app) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history [MEMBER]",
 		Short: "Show who changed sheets, when, from which version to which",
@@ -72,8 +70,8 @@
 			if err != nil {
 				return err
 			}
-			if a.output == formatJSON {
-				return a.json(records)
+			if a.format == formatJSON {
+				return a.printJSON(records)
 			}
 			var rows [][]string
 			for _, r := range records {
@@ -82,13 +80,12 @@
 					strconv.FormatUint(r.To, 10), string(r.Outcome), strconv.Itoa(len(r.Changes)),
 				})
 			}
-			return a.table("WHEN\tWHO\tMEMBER\tFROM\tTO\tOUTCOME\tCHANGES", rows)
+			return a.printTable("WHEN\tWHO\tMEMBER\tFROM\tTO\tOUTCOME\tCHANGES", rows)
 		},
 	}
 }
 
-// newSheetPush returns the command that pushes a sheet.
-func newSheetPush(a *app) *cobra.Command {
+func newSheetPushCommand(a *app) *cobra.Command {
 	var base int64
 	c := &cobra.Command{
 		Use:   "push MEMBER FILE",
@@ -100,7 +97,7 @@
 told what differs now. "Accepted" is said only when the platform holds it.`,
 		Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, cancel := context.WithTimeout(c.Context(), pushBound)
+			ctx, cancel := context.WithTimeout(c.Context(), pushTimeout)
 			defer cancel()
 			trail, s, err := a.trail()
 			if err != nil {
@@ -113,22 +110,22 @@
 			if base >= 0 && uint64(base) != p.Base {
 				return fmt.Errorf("the sheet of %s is at revision %d, not %d; look at it with dry-run: %w", p.Member, p.Base, base, store.ErrConflict)
 			}
-			r, err := trail.Change(ctx, a.who, p.object, p.Changes)
+			r, err := trail.Change(ctx, a.actor, p.object, p.Changes)
 			if errors.Is(err, store.ErrConflict) {
 				return a.explainConflict(ctx, s, args, err)
 			}
 			if err != nil {
 				return fmt.Errorf("push of %s: %w; see sheet history for its outcome", p.Member, err)
 			}
-			return a.showProposal(p, fmt.Sprintf("accepted as revision %d", r.To))
+			return a.printProposal(p, fmt.Sprintf("accepted as revision %d", r.To))
 		},
 	}
 	c.Flags().Int64Var(&base, "base", -1, "revision that the sheet is based on, as dry-run shows it")
 	return c
 }
 
-// newSheetShow returns the command that shows the sheet that stands.
-func newSheetShow(a *app) *cobra.Command {
+// newSheetShowCommand returns the command that shows a member's current sheet.
+func newSheetShowCommand(a *app) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show MEMBER",
 		Short: "Show the sheet that stands",
@@ -138,27 +135,28 @@
 			if err != nil {
 				return err
 			}
-			o, standing, err := standingSheet(c.Context(), s, args[0])
+			o, current, err := currentSheet(c.Context(), s, args[0])
 			if err != nil {
 				return err
 			}
-			if a.output == formatJSON {
-				return a.json(o)
+			if a.format == formatJSON {
+				return a.printJSON(o)
 			}
-			a.lines(fmt.Sprintf("%s, %s, revision %d", args[0], standing.Date, o.Revision))
+			a.printLines(fmt.Sprintf("%s, %s, revision %d", args[0], current.Date, o.Revision))
 			var rows [][]string
-			for _, l := range standing.Limits {
+			for _, l := range current.Limits {
 				rows = append(rows, []string{
 					l.Organisation, strconv.FormatFloat(l.Share, 'g', -1, 64), strconv.Itoa(l.Priority),
 					strconv.Itoa(l.Ceiling), strings.Join(l.Models, " "), l.Recovery,
 				})
 			}
-			return a.table("ORGANISATION\tSHARE\tPRIORITY\tCEILING\tMODELS\tRECOVERY", rows)
+			return a.printTable("ORGANISATION\tSHARE\tPRIORITY\tCEILING\tMODELS\tRECOVERY", rows)
 		},
 	}
 }
 
-// explainConflict tells a planner who lost a race what stands now and how the pushed sheet differs from it.
+// explainConflict returns the error of a push that lost to a concurrent one, with the differences from the sheet that
+// is now current.
 func (a *app) explainConflict(ctx context.Context, s store.Store, args []string, cause error) error {
 	p, err := propose(ctx, s, args[0], args[1])
 	if err != nil {
@@ -168,37 +166,37 @@
 		p.Base, strings.Join(p.Changes, "\n  "), p.Base, cause)
 }
 
-// showProposal writes what a sheet changes and what became of it.
-func (a *app) showProposal(p proposal, outcome string) error {
-	if a.output == formatJSON {
-		return a.json(map[string]any{"proposal": p, "outcome": outcome})
+// printProposal prints the changes that a sheet makes and whether they were accepted.
+func (a *app) printProposal(p proposal, outcome string) error {
+	if a.format == formatJSON {
+		return a.printJSON(map[string]any{"proposal": p, "outcome": outcome})
 	}
 	for _, change := range p.Changes {
-		a.lines(change)
+		a.printLines(change)
 	}
-	a.lines(fmt.Sprintf("sheet of %s for %s, %d changes: %s", p.Member, p.Date, len(p.Changes), outcome))
+	a.printLines(fmt.Sprintf("sheet of %s for %s, %d changes: %s", p.Member, p.Date, len(p.Changes), outcome))
 	return nil
 }
 
-// otherSheets returns the member whose sheet holds an organisation, other than the named one.
-func otherSheets(entries []conf.Entry, member string) map[string]string {
-	holders := make(map[string]string)
+// otherMembersByOrganisation maps each organisation on another member's sheet to that member.
+func otherMembersByOrganisation(entries []conf.Entry, member string) map[string]string {
+	memberByOrganisation := make(map[string]string)
 	for _, e := range entries {
 		if s, ok := e.Value.(conf.Sheet); ok && e.Key.Name != member {
 			for _, l := range s.Limits {
-				holders[l.Organisation] = e.Key.Name
+				memberByOrganisation[l.Organisation] = e.Key.Name
 			}
 		}
 	}
-	return holders
+	return memberByOrganisation
 }
 
-// propose reads a sheet and compares it with the one that stands.
+// propose reads and checks a sheet and compares it with the member's current one.
 func propose(ctx context.Context, s store.Store, member, file string) (proposal, error) {
 	if !decl.ValidName(member) {
 		return proposal{}, fmt.Errorf("%w: member %q is not a valid name", errUsage, member)
 	}
-	text, err := readFile(file)
+	text, err := readInput(file)
 	if err != nil {
 		return proposal{}, err
 	}
@@ -206,47 +204,48 @@
 	if err != nil {
 		return proposal{}, fmt.Errorf("read organisations: %w", err)
 	}
-	known := make(map[string]bool)
+	knownOrganisations := make(map[string]bool)
 	for _, o := range page.Objects {
-		known[o.Name] = known[o.Name] || o.Kind == conf.KindOrganisation && !o.Deleted
+		knownOrganisations[o.Name] = knownOrganisations[o.Name] || o.Kind == conf.KindOrganisation && !o.Deleted
 	}
-	next, faults := sheet.Parse(text, func(name string) bool { return known[name] })
+	next, faults := sheet.Parse(text, func(name string) bool { return knownOrganisations[name] })
 	entries, _ := decl.Entries(page.Objects)
-	holders := otherSheets(entries, member)
+	memberByOrganisation := otherMembersByOrganisation(entries, member)
+	// Limits begin in row 3, below the date and the header.
 	for i, l := range next.Limits {
-		if holder, ok := holders[l.Organisation]; ok {
-			faults = append(faults, sheet.Fault{Row: i + 3, Column: sheet.ColumnOrganisation, Reason: l.Organisation + " is on the sheet of " + holder})
+		if other, ok := memberByOrganisation[l.Organisation]; ok {
+			faults = append(faults, sheet.Fault{Row: i + 3, Column: sheet.ColumnOrganisation, Reason: l.Organisation + " is on the sheet of " + other})
 		}
 	}
 	if len(faults) > 0 {
-		return proposal{}, rejected(faults)
+		return proposal{}, rejectionError(faults)
 	}
-	o, standing, err := standingSheet(ctx, s, member)
+	o, current, err := currentSheet(ctx, s, member)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return proposal{}, err
 	}
-	if err := sheet.Admit(standing, next); err != nil {
+	if err := sheet.Admit(current, next); err != nil {
 		return proposal{}, fmt.Errorf("%w: %w", errRejected, err)
 	}
-	return newProposal(member, o, standing, next)
+	return newProposal(member, o, current, next)
 }
 
-// newProposal returns the proposal that replaces a standing sheet.
-func newProposal(member string, o store.Object, standing, next conf.Sheet) (proposal, error) {
+// newProposal returns the proposal to replace the current sheet, which is stored in o, by the next.
+func newProposal(member string, o store.Object, current, next conf.Sheet) (proposal, error) {
 	raw, err := json.Marshal(next)
 	if err != nil {
 		return proposal{}, fmt.Errorf("encode sheet: %w", err)
 	}
 	p := proposal{Member: member, Base: o.Revision, Date: next.Date, Changes: []string{}}
 	p.object = store.Object{Kind: conf.KindSheet, Name: member, Revision: o.Revision, Value: raw}
-	for _, change := range sheet.Diff(standing, next) {
+	for _, change := range sheet.Diff(current, next) {
 		p.Changes = append(p.Changes, change.String())
 	}
 	return p, nil
 }
 
-// readFile reads a file, or standard input for a dash.
-func readFile(name string) ([]byte, error) {
+// readInput reads a file, or standard input for a dash.
+func readInput(name string) ([]byte, error) {
 	var text []byte
 	var err error
 	if name == "-" {
@@ -260,8 +259,8 @@
 	return text, nil
 }
 
-// rejected returns one error that lists every fault of a sheet.
-func rejected(faults []sheet.Fault) error {
+// rejectionError returns one error that lists every fault of a sheet.
+func rejectionError(faults []sheet.Fault) error {
 	lines := make([]string, len(faults))
 	for i, f := range faults {
 		lines[i] = f.Error()
@@ -269,8 +268,8 @@
 	return fmt.Errorf("sheet %w, nothing was changed:\n  %s", errRejected, strings.Join(lines, "\n  "))
 }
 
-// standingSheet reads a member's sheet that stands.
-func standingSheet(ctx context.Context, s store.Store, member string) (store.Object, conf.Sheet, error) {
+// currentSheet reads a member's current sheet and the object that stores it.
+func currentSheet(ctx context.Context, s store.Store, member string) (store.Object, conf.Sheet, error) {
 	o, err := s.Get(ctx, conf.KindSheet, member)
 	if err != nil {
 		return o, conf.Sheet{}, fmt.Errorf("read the sheet of %s: %w", member, err)
@@ -279,6 +278,6 @@
 	if err != nil {
 		return o, conf.Sheet{}, err
 	}
-	standing, _ := value.(conf.Sheet)
-	return o, standing, nil
+	current, _ := value.(conf.Sheet)
+	return o, current, nil
 }
--- a/wharfctl/internal/cmds/status.go
+++ b/wharfctl/internal/cmds/status.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	askTimeout = 2 * time.Second // askTimeout bounds one question to an instance.
-	maxStatus  = 8 << 20         // maxStatus bounds one status, in bytes.
+	adminTimeout   = 2 * time.Second // adminTimeout bounds one request to an instance's admin address.
+	maxAnswerBytes = 8 << 20
 )
 
-// status is what an instance says of itself.
+// status is an instance's answer to GET /v1/status. Decoding errors print its Go name and field names to operators.
 type status struct {
 	Instance string  `json:"instance"`
 	Revision uint64  `json:"revision"`
@@ -35,54 +35,52 @@
 	Targets []struct {
 		Name    string `json:"name"`
 		Domain  string `json:"failure-domain"`
-		Own     int    `json:"own"`
-		Load    int    `json:"load"`
+		Own     int    `json:"own"`  // Own counts the instance's own generations at the target.
+		Load    int    `json:"load"` // Load counts the generations of all instances, as the target last reported.
 		Slots   int    `json:"slots"`
 		Suspect bool   `json:"suspect"`
 	} `json:"targets"`
 }
 
-// newDrain returns the command that makes an instance leave.
-func newDrain(a *app) *cobra.Command {
+func newDrainCommand(a *app) *cobra.Command {
 	return &cobra.Command{
 		Use:   "drain ADMIN-ADDRESS...",
 		Short: "Stop instances without cutting a request",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, address := range args {
-				if _, err := a.ask(c.Context(), http.MethodPost, address, "/v1/drain"); err != nil {
+				if _, err := a.callAdmin(c.Context(), http.MethodPost, address, "/v1/drain"); err != nil {
 					return fmt.Errorf("drain %s: %w", address, err)
 				}
-				a.lines(address + " is leaving")
+				a.printLines(address + " is leaving")
 			}
 			return nil
 		},
 	}
 }
 
-// newStatus returns the command that shows instances.
-func newStatus(a *app) *cobra.Command {
+func newStatusCommand(a *app) *cobra.Command {
 	var targets bool
 	c := &cobra.Command{
 		Use:   "status ADMIN-ADDRESS...",
 		Short: "Show which configuration instances run, and whom they know",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var all []status
+			var statuses []status
 			for _, address := range args {
 				s, err := a.status(c.Context(), address)
 				if err != nil {
 					return fmt.Errorf("status of %s: %w", address, err)
 				}
-				all = append(all, s)
+				statuses = append(statuses, s)
 			}
 			switch {
-			case a.output == formatJSON:
-				return a.json(all)
+			case a.format == formatJSON:
+				return a.printJSON(statuses)
 			case targets:
-				return a.table("INSTANCE\tTARGET\tDOMAIN\tOWN\tLOAD\tSLOTS\tSUSPECT", targetRows(all))
+				return a.printTable("INSTANCE\tTARGET\tDOMAIN\tOWN\tLOAD\tSLOTS\tSUSPECT", targetRows(statuses))
 			default:
-				return a.table("INSTANCE\tREVISION\tAGE\tLEAVING\tMEMBERS\tTARGETS\tFAULT", instanceRows(all))
+				return a.printTable("INSTANCE\tREVISION\tAGE\tLEAVING\tMEMBERS\tTARGETS\tFAULT", instanceRows(statuses))
 			}
 		},
 	}
@@ -90,9 +88,9 @@
 	return c
 }
 
-// ask asks an instance as an operator.
-func (a *app) ask(ctx context.Context, method, address, path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// callAdmin sends a request with the operator's key to an instance's admin address and returns the body of the answer.
+func (a *app) callAdmin(ctx context.Context, method, address, path string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
@@ -104,7 +102,7 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxStatus))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, fmt.Errorf("read answer: %w", err)
 	}
@@ -117,7 +115,7 @@
 // status asks an instance for its status.
 func (a *app) status(ctx context.Context, address string) (status, error) {
 	var s status
-	body, err := a.ask(ctx, http.MethodGet, address, "/v1/status")
+	body, err := a.callAdmin(ctx, http.MethodGet, address, "/v1/status")
 	if err != nil {
 		return s, err
 	}
@@ -127,10 +125,9 @@
 	return s, nil
 }
 
-// instanceRows returns a row for each instance.
-func instanceRows(all []status) [][]string {
+func instanceRows(statuses []status) [][]string {
 	var rows [][]string
-	for _, s := range all {
+	for _, s := range statuses {
 		alive := 0
 		for _, m := range s.Members {
 			if m.State == "alive" {
@@ -146,9 +143,9 @@
 }
 
 // targetRows returns a row for each target that an instance watches.
-func targetRows(all []status) [][]string {
+func targetRows(statuses []status) [][]string {
 	var rows [][]string
-	for _, s := range all {
+	for _, s := range statuses {
 		for _, t := range s.Targets {
 			rows = append(rows, []string{
 				s.Instance, t.Name, t.Domain, strconv.Itoa(t.Own), strconv.Itoa(t.Load), strconv.Itoa(t.Slots), strconv.FormatBool(t.Suspect),
