--- a/entry/internal/once/budget.go
+++ b/entry/internal/once/budget.go
@@ -3,38 +3,38 @@
 import "sync/atomic"
 
 const (
-	retryShare  = 10  // retryShare is the number of successes that earn one retry.
-	budgetStart = 50  // budgetStart is the retries that a new instance has.
-	budgetMax   = 200 // budgetMax bounds the retries saved up.
+	successesPerRetry = 10 // successesPerRetry is how many successful calls pay for one retry.
+	initialRetries    = 50
+	maxSavedRetries   = 200 // maxSavedRetries bounds the credit, counted in retries.
 )
 
-// budget bounds retries to a share of successes, so that they cannot multiply an overload.
-type budget struct {
-	tenths atomic.Int64 // tenths counts successes not yet spent, a retry costing retryShare.
+// retryBudget limits retries to a share of the successful calls, so that retries cannot multiply an overload.
+type retryBudget struct {
+	credit atomic.Int64 // credit counts successful calls; each retry costs successesPerRetry of them.
 }
 
-// newBudget returns a budget with some retries in it.
-func newBudget() *budget {
-	b := &budget{}
-	b.tenths.Store(budgetStart * retryShare)
+// newRetryBudget returns a budget that allows initialRetries before the first success.
+func newRetryBudget() *retryBudget {
+	b := &retryBudget{}
+	b.credit.Store(initialRetries * successesPerRetry)
 	return b
 }
 
-// earn adds a success.
-func (b *budget) earn() {
-	if b.tenths.Load() < budgetMax*retryShare {
-		b.tenths.Add(1)
+// deposit credits one successful call.
+func (b *retryBudget) deposit() {
+	if b.credit.Load() < maxSavedRetries*successesPerRetry {
+		b.credit.Add(1)
 	}
 }
 
-// spend takes a retry if there is one.
-func (b *budget) spend() bool {
+// tryWithdraw pays for one retry and reports whether the credit sufficed.
+func (b *retryBudget) tryWithdraw() bool {
 	for {
-		have := b.tenths.Load()
-		if have < retryShare {
+		available := b.credit.Load()
+		if available < successesPerRetry {
 			return false
 		}
-		if b.tenths.CompareAndSwap(have, have-retryShare) {
+		if b.credit.CompareAndSwap(available, available-successesPerRetry) {
 			return true
 		}
 	}
--- a/entry/internal/once/claim.go
+++ b/entry/internal/once/claim.go
@@ -14,43 +14,42 @@
 	"github.com/pkg/errors"
 )
 
-// KindClaim is the kind of the platform's objects that hold claims.
+// KindClaim is the kind of platform objects that store claims.
 const KindClaim = "claim"
 
-// phase says how far a claimed call has come.
-type phase string
+// claimPhase is the progress of a claimed call.
+type claimPhase string
 
-// The phases of a claimed call.
 const (
-	phaseClaimed phase = "claimed" // phaseClaimed may have been sent.
-	phaseUnsent  phase = "unsent"  // phaseUnsent was surely not sent and may be claimed again.
-	phaseDone    phase = "done"    // phaseDone has its answer.
+	phaseClaimed claimPhase = "claimed" // The call may have been sent.
+	phaseUnsent  claimPhase = "unsent"  // The call was certainly not sent; the key may be claimed again.
+	phaseDone    claimPhase = "done"    // The claim holds the service's answer.
 )
 
-// claim is the record of one key in the platform.
+// claim is the value of a platform object that reserves one idempotency key for one call.
 type claim struct {
-	Instance    string    `json:"instance"`
-	BodyHash    string    `json:"body-hash"`
-	Target      string    `json:"target"` // Target is the address that the call is sent to.
-	Phase       phase     `json:"phase"`
-	At          time.Time `json:"at"`
-	Status      int       `json:"status,omitempty"`
-	ContentType string    `json:"content-type,omitempty"`
-	Body        []byte    `json:"body,omitempty"`
+	Instance    string     `json:"instance"`
+	BodyHash    string     `json:"body-hash"`
+	Target      string     `json:"target"` // Target is the address of the service instance that the call is sent to.
+	Phase       claimPhase `json:"phase"`
+	At          time.Time  `json:"at"`
+	Status      int        `json:"status,omitempty"`
+	ContentType string     `json:"content-type,omitempty"`
+	Body        []byte     `json:"body,omitempty"`
 }
 
-// result returns the answer that a finished claim holds.
+// result returns the service's answer; it is valid in phaseDone.
 func (c claim) result() engine.Result {
 	return engine.Result{Status: c.Status, ContentType: c.ContentType, Body: c.Body}
 }
 
-// withPhase returns a copy in a phase.
-func (c claim) withPhase(p phase) claim {
+// withPhase returns a copy with the phase replaced.
+func (c claim) withPhase(p claimPhase) claim {
 	c.Phase = p
 	return c
 }
 
-// withResult returns a copy that holds the answer of the call.
+// withResult returns a copy in phaseDone that holds the service's answer.
 func (c claim) withResult(r engine.Result) claim {
 	c.Phase = phaseDone
 	c.Status = r.Status
@@ -59,61 +58,62 @@
 	return c
 }
 
-// withTarget returns a copy that is to be sent to a target.
+// withTarget returns a copy in phaseClaimed whose call is about to be sent to a target.
 func (c claim) withTarget(address string) claim {
 	c.Target = address
 	c.Phase = phaseClaimed
 	return c
 }
 
-// registry reads and writes claims in the platform.
-type registry struct {
+// claimStore reads and writes claims in the platform.
+type claimStore struct {
 	store store.Store
 }
 
-// bodyHash returns the hash by which the body of a repeated key is compared.
-func bodyHash(c engine.Call) string {
-	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%s %s\n%s\n", c.Method, c.Path, c.ContentType)
-	_, _ = h.Write(c.Body)
-	return hex.EncodeToString(h.Sum(nil))
+// hashCall hashes a call, so that the reuse of its key for a different call is detected.
+func hashCall(call engine.Call) string {
+	hash := sha256.New()
+	_, _ = fmt.Fprintf(hash, "%s %s\n%s\n", call.Method, call.Path, call.ContentType)
+	_, _ = hash.Write(call.Body)
+	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// claimName returns the name of a key's claim, which holds no character that a path cannot.
+// claimName returns the object name of a key's claim: a hash, because keys may hold characters that a URL path cannot.
 func claimName(organisation, service, key string) string {
-	sum := sha256.Sum256([]byte(organisation + "\x00" + service + "\x00" + key))
-	return hex.EncodeToString(sum[:])
+	hash := sha256.Sum256([]byte(organisation + "\x00" + service + "\x00" + key))
+	return hex.EncodeToString(hash[:])
 }
 
-// read returns the claim of a name and the object that holds it.
-func (r registry) read(ctx context.Context, name string) (claim, store.Object, error) {
-	o, err := r.store.Get(ctx, KindClaim, name)
+// read returns the claim with a name and the object that stores it.
+func (s claimStore) read(ctx context.Context, name string) (claim, store.Object, error) {
+	object, err := s.store.Get(ctx, KindClaim, name)
 	if err != nil {
 		return claim{}, store.Object{}, err
 	}
 	var c claim
-	if err := json.Unmarshal(o.Value, &c); err != nil {
+	if err := json.Unmarshal(object.Value, &c); err != nil {
 		return claim{}, store.Object{}, fmt.Errorf("decode claim %s: %w", name, err)
 	}
-	return c, o, nil
+	return c, object, nil
 }
 
-// write stores a claim in place of an object and returns the object that holds it now.
-func (r registry) write(ctx context.Context, o store.Object, c claim) (store.Object, error) {
-	raw, err := json.Marshal(c)
+// write stores a claim if the platform still has the object's revision, and returns the new object.
+// On an error the returned object carries the id of the attempted write.
+func (s claimStore) write(ctx context.Context, object store.Object, c claim) (store.Object, error) {
+	encoded, err := json.Marshal(c)
 	if err != nil {
-		return o, fmt.Errorf("encode claim: %w", err)
+		return object, fmt.Errorf("encode claim: %w", err)
 	}
-	next := o.WithValue(token.NewID(), raw)
-	revision, err := store.Settled{Store: r.store}.Put(ctx, next)
+	updated := object.WithValue(token.NewID(), encoded)
+	revision, err := store.Settled{Store: s.store}.Put(ctx, updated)
 	if err != nil {
-		return next, fmt.Errorf("write claim: %w", err)
+		return updated, fmt.Errorf("write claim: %w", err)
 	}
-	next.Revision = revision
-	return next, nil
+	updated.Revision = revision
+	return updated, nil
 }
 
-// isTaken tells whether a write failed because another holds the claim.
-func isTaken(err error) bool {
+// isClaimTaken reports whether a write failed because another request has written the claim.
+func isClaimTaken(err error) bool {
 	return errors.Is(err, store.ErrConflict)
 }
--- a/entry/internal/once/issuer.go
+++ b/entry/internal/once/issuer.go
@@ -24,53 +24,53 @@
 	"github.com/pkg/errors"
 )
 
-// issuedPrefix begins the text of issued keys.
-const issuedPrefix = "bw1."
+// issuedKeyPrefix distinguishes issued keys from keys that callers choose.
+const issuedKeyPrefix = "bw1."
 
-// ticketLife is how long an issued key may be spent.
-const ticketLife = 10 * time.Minute
+// issuedKeyLife is how long after its issue a key may be used first.
+const issuedKeyLife = 10 * time.Minute
 
-// errForgedKey is returned for a key that this fleet did not issue.
+// errForgedKey is returned for a key that this fleet did not issue to the organisation.
 var errForgedKey = errors.New("key was not issued by this fleet")
 
-// Ticket is the content of an issued key.
+// Ticket is what an issued key contains in encrypted form.
 type Ticket struct {
-	Instance string        `cbor:"1,keyasint"`
-	Epoch    uint64        `cbor:"2,keyasint"` // Epoch names one life of the issuing process.
+	Instance string        `cbor:"1,keyasint"` // Instance is the name of the issuing instance.
+	Epoch    uint64        `cbor:"2,keyasint"` // Epoch is the incarnation with which the issuing process started.
 	Serial   uint64        `cbor:"3,keyasint"`
-	Issued   time.Duration `cbor:"4,keyasint"` // Issued is the time from the start of the epoch to the issue of the key.
+	Issued   time.Duration `cbor:"4,keyasint"` // Issued is when the key was issued, counted from the epoch's start.
 }
 
-// Members gives the members by name.
+// Members gives access to the members of the fleet.
 type Members interface {
-	// View returns the members.
+	// View returns the members as this instance knows them.
 	View() member.View
 }
 
-// Issuer hands out keys and decides those that it handed out, from its own memory alone.
+// Issuer issues keys and remembers which of them were used; that is lost in a restart, so older keys are refused.
 type Issuer struct {
-	self    string
-	epoch   uint64
-	began   time.Time
-	aead    cipher.AEAD
-	members Members
-	net     peer.Net
-	serial  atomic.Uint64
+	instance   string
+	epoch      uint64
+	startedAt  time.Time
+	aead       cipher.AEAD
+	members    Members
+	peers      peer.Net
+	lastSerial atomic.Uint64
 
-	mu    sync.Mutex
-	spent map[uint64]*spent
+	mu        sync.Mutex
+	spentKeys map[uint64]*spentKey
 }
 
-// spent is an issued key that was used.
-type spent struct {
-	hash   string
-	at     time.Time
-	done   chan struct{} // done closes when answer is set.
-	answer chain.Answer
+// spentKey is the state of an issued key that has been used.
+type spentKey struct {
+	callHash string
+	spentAt  time.Time
+	done     chan struct{} // done closes when answer is set.
+	answer   chain.Answer
 }
 
-// NewIssuer returns an issuer for one life of the named instance.
-func NewIssuer(self string, epoch uint64, secret []byte, members Members, net peer.Net) (*Issuer, error) {
+// NewIssuer returns the issuer of a named instance, which changes its epoch with each start.
+func NewIssuer(instance string, epoch uint64, secret []byte, members Members, peers peer.Net) (*Issuer, error) {
 	key, err := hkdf.Key(sha256.New, secret, nil, "bramleywharf issued key", 32)
 	if err != nil {
 		return nil, fmt.Errorf("derive issuing key: %w", err)
@@ -83,48 +83,48 @@
 	if err != nil {
 		return nil, fmt.Errorf("set up issuing: %w", err)
 	}
-	return &Issuer{self: self, epoch: epoch, began: time.Now(), aead: aead, members: members, net: net, spent: make(map[uint64]*spent)}, nil
+	return &Issuer{instance: instance, epoch: epoch, startedAt: time.Now(), aead: aead, members: members, peers: peers, spentKeys: make(map[uint64]*spentKey)}, nil
 }
 
-// Handle runs a call whose key was issued here and that reached another instance.
-func (i *Issuer) Handle(ctx context.Context, o *Once, declared conf.ServiceCall, s wire.Spend) wire.Message {
-	ticket, err := i.open(s.Organisation, s.Key)
-	if err != nil || ticket.Instance != i.self {
+// Handle runs a call that a peer forwarded because its key was issued here.
+func (i *Issuer) Handle(ctx context.Context, o *Once, declared conf.ServiceCall, request wire.Spend) wire.Message {
+	ticket, err := i.openKey(request.Organisation, request.Key)
+	if err != nil || ticket.Instance != i.instance {
 		return wire.Failed{Reason: "key was not issued here"}
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(s.Within, callBound))
+	ctx, cancel := context.WithTimeout(ctx, min(request.Within, callTimeout))
 	defer cancel()
 	order := Order{
-		Organisation: s.Organisation,
-		Service:      s.Service,
+		Organisation: request.Organisation,
+		Service:      request.Service,
 		Declared:     declared,
-		Call:         engine.Call{Method: s.Method, Path: s.Path, Key: s.Key, ContentType: s.ContentType, Body: s.Body},
+		Call:         engine.Call{Method: request.Method, Path: request.Path, Key: request.Key, ContentType: request.ContentType, Body: request.Body},
 	}
-	return spentMessage(i.spend(ctx, o, order, ticket))
+	return messageToPeer(i.spendKey(ctx, o, order, ticket))
 }
 
 // Issue returns a new key for an organisation.
 func (i *Issuer) Issue(organisation string) (string, error) {
-	plain, err := cbor.Marshal(Ticket{
-		Instance: i.self,
+	encoded, err := cbor.Marshal(Ticket{
+		Instance: i.instance,
 		Epoch:    i.epoch,
-		Serial:   i.serial.Add(1),
-		Issued:   time.Since(i.began),
+		Serial:   i.lastSerial.Add(1),
+		Issued:   time.Since(i.startedAt),
 	})
 	if err != nil {
 		return "", fmt.Errorf("encode key: %w", err)
 	}
-	return issuedPrefix + base64.RawURLEncoding.EncodeToString(i.aead.Seal(nil, nil, plain, []byte(organisation))), nil
+	return issuedKeyPrefix + base64.RawURLEncoding.EncodeToString(i.aead.Seal(nil, nil, encoded, []byte(organisation))), nil
 }
 
-// forward asks the instance that issued a key to run the call.
-func (i *Issuer) forward(ctx context.Context, order Order, t Ticket) chain.Answer {
-	m, ok := i.members.View().Get(t.Instance)
-	if !ok || m.State == member.Dead {
-		return issuerGone()
+// forwardToIssuer has the call run by the instance that issued its key.
+func (i *Issuer) forwardToIssuer(ctx context.Context, order Order, ticket Ticket) chain.Answer {
+	issuer, ok := i.members.View().Get(ticket.Instance)
+	if !ok || issuer.State == member.Dead {
+		return refuseIssuerUnreachable()
 	}
 	deadline, _ := ctx.Deadline()
-	answer, err := i.net.Ask(ctx, m.PeerAddress, wire.Spend{
+	answer, err := i.peers.Ask(ctx, issuer.PeerAddress, wire.Spend{
 		Key:          order.Call.Key,
 		Organisation: order.Organisation,
 		Service:      order.Service,
@@ -132,144 +132,144 @@
 		Path:         order.Call.Path,
 		ContentType:  order.Call.ContentType,
 		Body:         order.Call.Body,
-		Within:       time.Until(deadline) - lookPause,
+		Within:       time.Until(deadline) - claimPollInterval,
 	})
 	if err != nil {
-		return issuerGone()
+		return refuseIssuerUnreachable()
 	}
-	s, ok := answer.(wire.Spent)
+	spent, ok := answer.(wire.Spent)
 	if !ok {
-		return issuerGone()
+		return refuseIssuerUnreachable()
 	}
-	return spentAnswer(s)
+	return answerFromPeer(spent)
 }
 
-// open returns the ticket of a key that was issued to an organisation.
-func (i *Issuer) open(organisation, key string) (Ticket, error) {
-	var t Ticket
-	sealed, err := base64.RawURLEncoding.DecodeString(strings.TrimPrefix(key, issuedPrefix))
+// openKey decrypts the ticket of a key that was issued to an organisation.
+func (i *Issuer) openKey(organisation, key string) (Ticket, error) {
+	var ticket Ticket
+	sealed, err := base64.RawURLEncoding.DecodeString(strings.TrimPrefix(key, issuedKeyPrefix))
 	if err != nil {
-		return t, errForgedKey
+		return ticket, errForgedKey
 	}
-	plain, err := i.aead.Open(nil, nil, sealed, []byte(organisation))
+	encoded, err := i.aead.Open(nil, nil, sealed, []byte(organisation))
 	if err != nil {
-		return t, errForgedKey
+		return ticket, errForgedKey
 	}
-	if err := cbor.Unmarshal(plain, &t); err != nil {
-		return t, fmt.Errorf("decode key: %w", err)
+	if err := cbor.Unmarshal(encoded, &ticket); err != nil {
+		return ticket, fmt.Errorf("decode key: %w", err)
 	}
-	return t, nil
+	return ticket, nil
 }
 
-// run decides an issued key here or where it was issued.
-func (i *Issuer) run(ctx context.Context, o *Once, order Order, a Issued) chain.Answer {
+// runIssued runs a call with an issued key, here or at the instance that issued the key.
+func (i *Issuer) runIssued(ctx context.Context, o *Once, order Order, issued Issued) chain.Answer {
 	switch {
-	case a.Forged:
-		return chain.Refuse(deny.New(deny.KindMalformed, "%v; keys that begin with %s are issued by GET /v1/keys", errForgedKey, issuedPrefix))
-	case a.Ticket.Instance == i.self:
-		return i.spend(ctx, o, order, a.Ticket)
+	case issued.Forged:
+		return chain.Refuse(deny.New(deny.KindMalformed, "%v; keys that begin with %s are issued by GET /v1/keys", errForgedKey, issuedKeyPrefix))
+	case issued.Ticket.Instance == i.instance:
+		return i.spendKey(ctx, o, order, issued.Ticket)
 	default:
-		return i.forward(ctx, order, a.Ticket)
+		return i.forwardToIssuer(ctx, order, issued.Ticket)
 	}
 }
 
-// spend runs a call whose key this instance issued, once in its life.
-func (i *Issuer) spend(ctx context.Context, o *Once, order Order, t Ticket) chain.Answer {
-	if t.Epoch != i.epoch {
-		return issuerGone()
+// spendKey runs a call whose key this instance issued, unless the key has been used: then it returns the first answer.
+func (i *Issuer) spendKey(ctx context.Context, o *Once, order Order, ticket Ticket) chain.Answer {
+	if ticket.Epoch != i.epoch {
+		return refuseIssuerUnreachable()
 	}
 	i.mu.Lock()
-	i.sweep()
-	s, used := i.spent[t.Serial]
-	if !used && time.Since(i.began)-t.Issued > ticketLife {
+	i.sweepSpentKeys()
+	key, isSpent := i.spentKeys[ticket.Serial]
+	if !isSpent && time.Since(i.startedAt)-ticket.Issued > issuedKeyLife {
 		i.mu.Unlock()
-		return chain.Refuse(deny.New(deny.KindOutcome, "the issued key is older than %s", ticketLife).WithExecuted(deny.ExecutedUnknown))
+		return chain.Refuse(deny.New(deny.KindOutcome, "the issued key is older than %s", issuedKeyLife).WithExecuted(deny.ExecutedUnknown))
 	}
-	if !used {
-		s = &spent{hash: bodyHash(order.Call), at: time.Now(), done: make(chan struct{})}
-		i.spent[t.Serial] = s
+	if !isSpent {
+		key = &spentKey{callHash: hashCall(order.Call), spentAt: time.Now(), done: make(chan struct{})}
+		i.spentKeys[ticket.Serial] = key
 	}
 	i.mu.Unlock()
-	if !used {
-		return i.first(ctx, o, order, t, s)
+	if !isSpent {
+		return i.runFirstUse(ctx, o, order, ticket, key)
 	}
-	if s.hash != bodyHash(order.Call) {
-		return conflict()
+	if key.callHash != hashCall(order.Call) {
+		return refuseConflict()
 	}
 	select {
-	case <-s.done:
-		return s.answer
-	case <-before(ctx).Done():
-		return o.outcomeUnknown("the same key is being handled")
+	case <-key.done:
+		return key.answer
+	case <-withStatusReserve(ctx).Done():
+		return o.refuseOutcomeUnknown("the same key is being handled")
 	}
 }
 
-// first sends the call of a fresh key; a key whose call surely was not sent becomes fresh again.
-func (i *Issuer) first(ctx context.Context, o *Once, order Order, t Ticket, s *spent) chain.Answer {
-	answer, sent := o.direct(ctx, order)
-	s.answer = answer
-	close(s.done)
-	if !sent {
+// runFirstUse sends the call of an unused key. If the call was certainly not sent, the key becomes unused again.
+func (i *Issuer) runFirstUse(ctx context.Context, o *Once, order Order, ticket Ticket, key *spentKey) chain.Answer {
+	answer, mayBeSent := o.sendOnce(ctx, order)
+	key.answer = answer
+	close(key.done)
+	if !mayBeSent {
 		i.mu.Lock()
-		delete(i.spent, t.Serial)
+		delete(i.spentKeys, ticket.Serial)
 		i.mu.Unlock()
 	}
 	return answer
 }
 
-// sweep forgets keys that were spent so long ago that they are too old to be spent again.
-func (i *Issuer) sweep() {
+// sweepSpentKeys forgets used keys once they are older than issuedKeyLife and would be refused in any case.
+func (i *Issuer) sweepSpentKeys() {
 	now := time.Now()
-	for serial, s := range i.spent {
-		if now.Sub(s.at) > 2*ticketLife {
-			delete(i.spent, serial)
+	for serial, key := range i.spentKeys {
+		if now.Sub(key.spentAt) > 2*issuedKeyLife {
+			delete(i.spentKeys, serial)
 		}
 	}
 }
 
-// direct sends a call once, to the first target that can be reached, and tells whether it may have been sent.
-func (o *Once) direct(ctx context.Context, order Order) (chain.Answer, bool) {
-	for _, t := range o.targets.Services(order.Service) {
-		result, err := o.caller.Call(before(ctx), t.Address, order.Call)
+// sendOnce sends a call to the first target that can be reached and reports whether the call may have been sent.
+func (o *Once) sendOnce(ctx context.Context, order Order) (chain.Answer, bool) {
+	for _, target := range o.targets.Services(order.Service) {
+		result, err := o.caller.Call(withStatusReserve(ctx), target.Address, order.Call)
 		switch {
 		case err == nil:
-			o.executed.Inc()
-			return whole(result), true
+			o.executedCalls.Inc()
+			return wholeAnswer(result), true
 		case errors.Is(err, engine.ErrNotSent):
 			continue
 		}
-		return o.status(ctx, order, t.Address), true
+		return o.lookUpOutcome(ctx, order, target.Address), true
 	}
-	return unavailable("no target of service %s could be reached", order.Service), false
+	return refuseUnavailable("no target of service %s could be reached", order.Service), false
 }
 
-// issuerGone refuses a key whose issuer can no longer tell whether it was spent.
-func issuerGone() chain.Answer {
+// refuseIssuerUnreachable refuses a call because the instance that issued its key is unreachable or has restarted.
+func refuseIssuerUnreachable() chain.Answer {
 	return chain.Refuse(deny.New(deny.KindOutcome, "the instance that issued the key cannot be asked whether it was spent").
 		WithExecuted(deny.ExecutedUnknown))
 }
 
-// spentAnswer returns the answer that a peer sent.
-func spentAnswer(s wire.Spent) chain.Answer {
-	if s.Refusal == "" {
-		return chain.Whole{Status: s.Status, ContentType: s.ContentType, Body: s.Body}
+// answerFromPeer decodes the answer of the instance that ran a forwarded call.
+func answerFromPeer(spent wire.Spent) chain.Answer {
+	if spent.Refusal == "" {
+		return chain.Whole{Status: spent.Status, ContentType: spent.ContentType, Body: spent.Body}
 	}
 	return chain.Refuse(deny.Refusal{
-		Kind:       deny.Kind(s.Refusal),
-		Detail:     s.Detail,
-		Executed:   deny.Executed(s.Executed),
-		RetryAfter: s.RetryAfter,
+		Kind:       deny.Kind(spent.Refusal),
+		Detail:     spent.Detail,
+		Executed:   deny.Executed(spent.Executed),
+		RetryAfter: spent.RetryAfter,
 	})
 }
 
-// spentMessage returns the message that carries an answer to a peer.
-func spentMessage(a chain.Answer) wire.Message {
-	switch a := a.(type) {
+// messageToPeer encodes the answer to a forwarded call.
+func messageToPeer(answer chain.Answer) wire.Message {
+	switch answer := answer.(type) {
 	case chain.Whole:
-		return wire.Spent{Status: a.Status, ContentType: a.ContentType, Body: a.Body}
+		return wire.Spent{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
 	case chain.Refused:
-		r := a.Refusal
-		return wire.Spent{Refusal: string(r.Kind), Detail: r.Detail, Executed: string(r.Executed), RetryAfter: r.RetryAfter}
+		refusal := answer.Refusal
+		return wire.Spent{Refusal: string(refusal.Kind), Detail: refusal.Detail, Executed: string(refusal.Executed), RetryAfter: refusal.RetryAfter}
 	default:
 		return wire.Failed{Reason: "no answer"}
 	}
--- a/entry/internal/once/once.go
+++ b/entry/internal/once/once.go
@@ -20,354 +20,357 @@
 )
 
 const (
-	callBound   = 3 * time.Second        // callBound is the longest that a caller of a plain service waits.
-	settleBound = 500 * time.Millisecond // settleBound is kept back from callBound to settle and record an outcome.
-	recordBound = 10 * time.Second       // recordBound bounds the attempts to record an outcome after the caller has its answer.
-	lookPause   = 50 * time.Millisecond  // lookPause is the time between two looks at a claim that another runs.
-	retryPause  = 20 * time.Millisecond  // retryPause is the wait before an idempotent call is sent again.
-	keptFor     = 10 * time.Minute       // keptFor is how long this instance remembers its keys without asking the platform.
+	callTimeout       = 3 * time.Second        // callTimeout bounds a whole call, retries and status call included.
+	statusTimeout     = 500 * time.Millisecond // statusTimeout bounds a status call and is reserved for it in callTimeout.
+	recordTimeout     = 10 * time.Second       // recordTimeout bounds writing an outcome after the caller is answered.
+	claimPollInterval = 50 * time.Millisecond  // claimPollInterval is for a claim whose call another request is running.
+	retryDelay        = 20 * time.Millisecond  // retryDelay is the delay before an idempotent call is sent again.
+	keyStateLife      = 10 * time.Minute       // keyStateLife is how long after its last use a key is kept in memory.
 )
 
-// Targets gives the targets of plain services.
+// Targets selects the targets of plain services.
 type Targets interface {
-	// Services returns the targets of a service that take new work, the best first.
+	// Services returns the targets of a service that accept new calls, the best first.
 	Services(service string) []route.Candidate
 }
 
-// Order is one call to run.
+// Order is one call of a plain service to run.
 type Order struct {
 	Organisation string
 	Service      string
-	Declared     conf.ServiceCall
+	Declared     conf.ServiceCall // Declared tells whether the call is idempotent and where its status is found.
 	Call         engine.Call
 }
 
 // Once runs calls of plain services.
 type Once struct {
-	self     string
-	claims   registry
-	targets  Targets
-	caller   engine.Caller
-	issuer   *Issuer
-	budget   *budget
-	group    sync.WaitGroup
-	executed *metrics.Counter
-	unknown  *metrics.Counter
-	retried  *metrics.Counter
+	instance        string
+	claims          claimStore
+	targets         Targets
+	caller          engine.Caller
+	issuer          *Issuer
+	retryBudget     *retryBudget
+	recordings      sync.WaitGroup // recordings counts the outcomes that are being written to the platform.
+	executedCalls   *metrics.Counter
+	unknownOutcomes *metrics.Counter
+	retries         *metrics.Counter
 
-	mu    sync.Mutex
-	local map[string]*local
-	swept time.Time
+	mu        sync.Mutex
+	keyStates map[string]*keyState // keyStates maps the names of claims to what is known of their keys.
+	lastSweep time.Time
 }
 
-// local is what this instance remembers of a key it handles.
-type local struct {
-	busy    chan struct{} // busy holds one place for the request that handles the key.
-	writeID string        // writeID is the id of a claim that may have been written and whose call was not sent.
-	result  *engine.Result
-	hash    string
-	at      time.Time
+// keyState is what this instance remembers of a key that callers chose.
+type keyState struct {
+	lock          chan struct{}  // lock is a mutex for requests with the key; a channel, so that waiting can time out.
+	unsentWriteID string         // unsentWriteID is the id of a claim's last write, if its call was certainly not sent.
+	result        *engine.Result // result is the service's answer, or nil while there is none.
+	callHash      string
+	usedAt        time.Time
 }
 
-// New returns a runner of calls.
-func New(self string, platform store.Store, targets Targets, caller engine.Caller, issuer *Issuer, set *metrics.Set) *Once {
+// New returns a Once that sends calls through the caller and keeps its claims in the platform.
+func New(instance string, platform store.Store, targets Targets, caller engine.Caller, issuer *Issuer, set *metrics.Set) *Once {
 	return &Once{
-		self:     self,
-		claims:   registry{store: platform},
-		targets:  targets,
-		caller:   caller,
-		issuer:   issuer,
-		budget:   newBudget(),
-		executed: set.GetOrCreateCounter("bramleywharf_service_calls_total"),
-		unknown:  set.GetOrCreateCounter("bramleywharf_service_outcomes_unknown_total"),
-		retried:  set.GetOrCreateCounter("bramleywharf_service_retries_total"),
-		local:    make(map[string]*local),
+		instance:        instance,
+		claims:          claimStore{store: platform},
+		targets:         targets,
+		caller:          caller,
+		issuer:          issuer,
+		retryBudget:     newRetryBudget(),
+		executedCalls:   set.GetOrCreateCounter("bramleywharf_service_calls_total"),
+		unknownOutcomes: set.GetOrCreateCounter("bramleywharf_service_outcomes_unknown_total"),
+		retries:         set.GetOrCreateCounter("bramleywharf_service_retries_total"),
+		keyStates:       make(map[string]*keyState),
 	}
 }
 
-// Close waits until all outcomes are recorded or given up.
+// Close waits until every outcome is recorded in the platform or its recording has timed out.
 func (o *Once) Close() {
-	o.group.Wait()
+	o.recordings.Wait()
 }
 
-// Run runs a call; a non-idempotent one at most once for its key.
+// Run runs a call: an idempotent one with retries, a non-idempotent one at most once for its key.
 func (o *Once) Run(ctx context.Context, order Order) chain.Answer {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if !order.Declared.NonIdempotent {
-		return o.repeat(ctx, order)
+		return o.runIdempotent(ctx, order)
 	}
 	if order.Call.Key == "" {
 		return chain.Refuse(deny.New(deny.KindMalformed, "%s %s is not idempotent and needs an Idempotency-Key", order.Call.Method, order.Call.Path))
 	}
-	switch a := o.authority(order.Organisation, order.Call.Key).(type) {
+	switch authority := o.authorityOf(order.Organisation, order.Call.Key).(type) {
 	case Issued:
-		return o.issuer.run(ctx, o, order, a)
+		return o.issuer.runIssued(ctx, o, order, authority)
 	default:
-		return o.claim(ctx, order)
+		return o.runClaimed(ctx, order)
 	}
 }
 
-// Authority is the sealed set of ways to decide who runs a key: Claimed and Issued.
+// Authority is the sealed set of ways to decide which request may send the call of a key: Claimed and Issued.
 type Authority interface {
 	isAuthority()
 }
 
-// Claimed keys are decided by the platform.
+// Claimed is the authority of keys that callers choose: the request whose claim the platform accepts sends the call.
 type Claimed struct{}
 
-// Issued keys are decided by the memory of the instance that issued them.
+// Issued is the authority of issued keys: the instance that issued a key remembers whether it has been used.
 type Issued struct {
 	Ticket Ticket
-	Forged bool // Forged marks a key that looks issued and was not.
+	Forged bool // Forged is set if the key has issuedKeyPrefix and cannot be decrypted.
 }
 
 func (Claimed) isAuthority() {}
 func (Issued) isAuthority()  {}
 
-// authority returns who decides a key.
-func (o *Once) authority(organisation, key string) Authority {
-	if !strings.HasPrefix(key, issuedPrefix) {
+// authorityOf returns the authority that decides a key.
+func (o *Once) authorityOf(organisation, key string) Authority {
+	if !strings.HasPrefix(key, issuedKeyPrefix) {
 		return Claimed{}
 	}
-	ticket, err := o.issuer.open(organisation, key)
+	ticket, err := o.issuer.openKey(organisation, key)
 	return Issued{Ticket: ticket, Forged: err != nil}
 }
 
-// claim runs a call whose key the platform decides.
-func (o *Once) claim(ctx context.Context, order Order) chain.Answer {
+// runClaimed runs a call whose key the caller chose.
+func (o *Once) runClaimed(ctx context.Context, order Order) chain.Answer {
 	name := claimName(order.Organisation, order.Service, order.Call.Key)
-	l := o.remember(name)
+	state := o.stateOf(name)
 	select {
-	case l.busy <- struct{}{}:
-		defer func() { <-l.busy }()
-	case <-before(ctx).Done():
-		return o.outcomeUnknown("the same key is being handled")
+	case state.lock <- struct{}{}:
+		defer func() { <-state.lock }()
+	case <-withStatusReserve(ctx).Done():
+		return o.refuseOutcomeUnknown("the same key is being handled")
 	}
-	if l.result != nil {
-		if l.hash != bodyHash(order.Call) {
-			return conflict()
+	if state.result != nil {
+		if state.callHash != hashCall(order.Call) {
+			return refuseConflict()
 		}
-		return whole(*l.result)
+		return wholeAnswer(*state.result)
 	}
 	targets := o.targets.Services(order.Service)
 	if len(targets) == 0 {
-		return o.unused(ctx, name, "", "no target of service "+order.Service+" takes calls")
+		return o.refuseNotSent(ctx, name, "", "no target of service "+order.Service+" takes calls")
 	}
-	c := claim{Instance: o.self, BodyHash: bodyHash(order.Call), At: time.Now()}.withTarget(targets[0].Address)
-	held, err := o.claims.write(ctx, store.Object{Kind: KindClaim, Name: name}, c)
+	record := claim{Instance: o.instance, BodyHash: hashCall(order.Call), At: time.Now()}.withTarget(targets[0].Address)
+	stored, err := o.claims.write(ctx, store.Object{Kind: KindClaim, Name: name}, record)
 	switch {
 	case err == nil:
-		return o.send(ctx, order, l, c, held, targets)
-	case isTaken(err):
-		return o.follow(ctx, order, l, name, targets)
+		return o.sendClaimed(ctx, order, state, record, stored, targets)
+	case isClaimTaken(err):
+		return o.followClaim(ctx, order, state, name, targets)
 	default:
-		l.writeID = held.WriteID
-		return o.unused(ctx, name, held.WriteID, "the platform could not record the key in time")
+		state.unsentWriteID = stored.WriteID
+		return o.refuseNotSent(ctx, name, stored.WriteID, "the platform could not record the key in time")
 	}
 }
 
-// unused refuses a call that was not sent now, and says that it was not run only if no other claim shows an earlier sending of its key.
-func (o *Once) unused(ctx context.Context, name, writeID, detail string) chain.Answer {
-	_, held, err := o.claims.read(ctx, name)
+// refuseNotSent refuses a call that this request did not send. The refusal says that the call was not executed only if
+// the platform shows no claim of the key by another request, which may have sent it; otherwise the outcome is unknown.
+func (o *Once) refuseNotSent(ctx context.Context, name, writeID, detail string) chain.Answer {
+	_, stored, err := o.claims.read(ctx, name)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
-		return unavailable("%s", detail)
-	case err == nil && writeID != "" && held.WriteID == writeID:
-		return unavailable("%s", detail)
+		return refuseUnavailable("%s", detail)
+	case err == nil && writeID != "" && stored.WriteID == writeID:
+		return refuseUnavailable("%s", detail)
 	default:
-		return o.outcomeUnknown(detail + "; whether the key was used before is not known")
+		return o.refuseOutcomeUnknown(detail + "; whether the key was used before is not known")
 	}
 }
 
-// follow handles a key that is claimed already.
-func (o *Once) follow(ctx context.Context, order Order, l *local, name string, targets []route.Candidate) chain.Answer {
-	var c claim
-	var held store.Object
+// followClaim handles a key that is already claimed: it waits for the outcome of the request that holds the claim, or
+// takes the claim over if its call was certainly not sent.
+func (o *Once) followClaim(ctx context.Context, order Order, state *keyState, name string, targets []route.Candidate) chain.Answer {
+	var record claim
+	var stored store.Object
 	var err error
-	waiting := before(ctx)
+	waitCtx := withStatusReserve(ctx)
 	for {
-		c, held, err = o.claims.read(waiting, name)
+		record, stored, err = o.claims.read(waitCtx, name)
 		if err != nil {
-			return o.outcomeUnknown("the key was used before, and the platform does not answer")
+			return o.refuseOutcomeUnknown("the key was used before, and the platform does not answer")
 		}
-		if c.BodyHash != bodyHash(order.Call) {
-			return conflict()
+		if record.BodyHash != hashCall(order.Call) {
+			return refuseConflict()
 		}
-		if c.Phase == phaseDone {
-			return whole(c.result())
+		if record.Phase == phaseDone {
+			return wholeAnswer(record.result())
 		}
-		mine := l.writeID != "" && held.WriteID == l.writeID
-		if c.Phase == phaseUnsent || mine {
-			return o.takeOver(ctx, order, l, c, held, targets)
+		isOwnWrite := state.unsentWriteID != "" && stored.WriteID == state.unsentWriteID
+		if record.Phase == phaseUnsent || isOwnWrite {
+			return o.takeOverClaim(ctx, order, state, record, stored, targets)
 		}
-		if time.Since(c.At) > callBound || !wait.For(waiting, lookPause) {
+		if time.Since(record.At) > callTimeout || !wait.For(waitCtx, claimPollInterval) {
 			break
 		}
 	}
-	return o.settle(ctx, order, c, held)
+	return o.resolveOutcome(ctx, order, record, stored)
 }
 
-// takeOver claims a key again that surely was not sent.
-func (o *Once) takeOver(ctx context.Context, order Order, l *local, c claim, held store.Object, targets []route.Candidate) chain.Answer {
-	c.Instance = o.self
-	c.At = time.Now()
-	c = c.withTarget(targets[0].Address)
-	next, err := o.claims.write(ctx, held, c)
+// takeOverClaim replaces a claim whose call was certainly not sent, and sends the call.
+func (o *Once) takeOverClaim(ctx context.Context, order Order, state *keyState, record claim, stored store.Object, targets []route.Candidate) chain.Answer {
+	record.Instance = o.instance
+	record.At = time.Now()
+	record = record.withTarget(targets[0].Address)
+	updated, err := o.claims.write(ctx, stored, record)
 	switch {
 	case err == nil:
-		return o.send(ctx, order, l, c, next, targets)
-	case isTaken(err):
-		return o.follow(ctx, order, l, held.Name, targets)
+		return o.sendClaimed(ctx, order, state, record, updated, targets)
+	case isClaimTaken(err):
+		return o.followClaim(ctx, order, state, stored.Name, targets)
 	default:
-		l.writeID = next.WriteID
-		return unavailable("the platform could not record the key in time")
+		state.unsentWriteID = updated.WriteID
+		return refuseUnavailable("the platform could not record the key in time")
 	}
 }
 
-// send sends a claimed call once, to the first target that can be reached.
-func (o *Once) send(ctx context.Context, order Order, l *local, c claim, held store.Object, targets []route.Candidate) chain.Answer {
-	l.writeID = ""
-	for i, t := range targets {
+// sendClaimed sends a claimed call to the first target that can be reached. The claim names each target before the call
+// is sent there, so that other instances know which one to ask for the outcome.
+func (o *Once) sendClaimed(ctx context.Context, order Order, state *keyState, record claim, stored store.Object, targets []route.Candidate) chain.Answer {
+	state.unsentWriteID = ""
+	for i, target := range targets {
 		if i > 0 {
-			c = c.withTarget(t.Address)
-			next, err := o.claims.write(ctx, held, c)
+			record = record.withTarget(target.Address)
+			updated, err := o.claims.write(ctx, stored, record)
 			if err != nil {
-				l.writeID = next.WriteID
-				return unavailable("the platform could not record the key's next target")
+				state.unsentWriteID = updated.WriteID
+				return refuseUnavailable("the platform could not record the key's next target")
 			}
-			held = next
+			stored = updated
 		}
-		result, err := o.caller.Call(before(ctx), t.Address, order.Call)
+		result, err := o.caller.Call(withStatusReserve(ctx), target.Address, order.Call)
 		if err == nil {
-			o.executed.Inc()
-			l.result, l.hash = &result, c.BodyHash
-			o.record(held, c.withResult(result))
-			return whole(result)
+			o.executedCalls.Inc()
+			state.result, state.callHash = &result, record.BodyHash
+			o.recordOutcome(stored, record.withResult(result))
+			return wholeAnswer(result)
 		}
 		if !errors.Is(err, engine.ErrNotSent) {
-			return o.settle(ctx, order, c, held)
+			return o.resolveOutcome(ctx, order, record, stored)
 		}
 	}
-	o.record(held, c.withPhase(phaseUnsent))
-	l.writeID = held.WriteID
-	return unavailable("no target of service %s could be reached", order.Service)
+	o.recordOutcome(stored, record.withPhase(phaseUnsent))
+	state.unsentWriteID = stored.WriteID
+	return refuseUnavailable("no target of service %s could be reached", order.Service)
 }
 
-// settle finds out what became of a claimed call that may have been sent, and records it.
-func (o *Once) settle(ctx context.Context, order Order, c claim, held store.Object) chain.Answer {
-	answer := o.status(ctx, order, c.Target)
-	if w, ok := answer.(chain.Whole); ok {
-		o.record(held, c.withResult(engine.Result{Status: w.Status, ContentType: w.ContentType, Body: w.Body}))
+// resolveOutcome looks up the outcome of a claimed call that may have been sent, and records it if it is known.
+func (o *Once) resolveOutcome(ctx context.Context, order Order, record claim, stored store.Object) chain.Answer {
+	answer := o.lookUpOutcome(ctx, order, record.Target)
+	if whole, ok := answer.(chain.Whole); ok {
+		o.recordOutcome(stored, record.withResult(engine.Result{Status: whole.Status, ContentType: whole.ContentType, Body: whole.Body}))
 	}
 	return answer
 }
 
-// status asks the target of a call that may have been sent what became of it.
-func (o *Once) status(ctx context.Context, order Order, address string) chain.Answer {
+// lookUpOutcome asks the target of a call that may have been sent for its outcome, by the service's status call.
+func (o *Once) lookUpOutcome(ctx context.Context, order Order, address string) chain.Answer {
 	if order.Declared.StatusPath == "" {
-		return o.outcomeUnknown("the call may have reached the service, which has no status call")
+		return o.refuseOutcomeUnknown("the call may have reached the service, which has no status call")
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleBound)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	path := strings.ReplaceAll(order.Declared.StatusPath, "{key}", url.PathEscape(order.Call.Key))
 	result, err := o.caller.Call(ctx, address, engine.Call{Method: http.MethodGet, Path: path})
 	if err != nil || result.Status != http.StatusOK {
-		return o.outcomeUnknown("the call may have reached the service, whose status call does not show it")
+		return o.refuseOutcomeUnknown("the call may have reached the service, whose status call does not show it")
 	}
-	return whole(result)
+	return wholeAnswer(result)
 }
 
-// record writes the outcome of a claim behind the caller's back, until it is there or given up.
-func (o *Once) record(held store.Object, c claim) {
-	o.group.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), recordBound)
+// recordOutcome writes a claim in the background, with retries unless another request has written it.
+func (o *Once) recordOutcome(stored store.Object, record claim) {
+	o.recordings.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
 		for {
-			_, err := o.claims.write(ctx, held, c)
-			if err == nil || isTaken(err) || !wait.For(ctx, time.Second) {
+			_, err := o.claims.write(ctx, stored, record)
+			if err == nil || isClaimTaken(err) || !wait.For(ctx, time.Second) {
 				return
 			}
 		}
 	})
 }
 
-// remember returns what this instance knows of a key, and forgets old ones.
-func (o *Once) remember(name string) *local {
+// stateOf returns the state of the key whose claim has a name, and removes expired states once a minute.
+func (o *Once) stateOf(name string) *keyState {
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now.Sub(o.swept) > time.Minute {
-		o.swept = now
-		for n, l := range o.local {
-			if now.Sub(l.at) > keptFor {
-				delete(o.local, n)
+	if now.Sub(o.lastSweep) > time.Minute {
+		o.lastSweep = now
+		for old, state := range o.keyStates {
+			if now.Sub(state.usedAt) > keyStateLife {
+				delete(o.keyStates, old)
 			}
 		}
 	}
-	l, ok := o.local[name]
+	state, ok := o.keyStates[name]
 	if !ok {
-		l = &local{busy: make(chan struct{}, 1)}
-		o.local[name] = l
+		state = &keyState{lock: make(chan struct{}, 1)}
+		o.keyStates[name] = state
 	}
-	l.at = now
-	return l
+	state.usedAt = now
+	return state
 }
 
-// repeat runs an idempotent call, on another target after a failure, within the budget and the deadline.
-func (o *Once) repeat(ctx context.Context, order Order) chain.Answer {
+// runIdempotent tries an idempotent call on one target after the other, within the retry budget and the deadline.
+func (o *Once) runIdempotent(ctx context.Context, order Order) chain.Answer {
 	targets := o.targets.Services(order.Service)
-	var last error
-	for i, t := range targets {
-		if i > 0 && (!o.budget.spend() || !wait.For(ctx, retryPause)) {
+	var lastErr error
+	for i, target := range targets {
+		if i > 0 && (!o.retryBudget.tryWithdraw() || !wait.For(ctx, retryDelay)) {
 			break
 		}
 		if i > 0 {
-			o.retried.Inc()
+			o.retries.Inc()
 		}
-		result, err := o.caller.Call(ctx, t.Address, order.Call)
+		result, err := o.caller.Call(ctx, target.Address, order.Call)
 		if err == nil {
-			o.budget.earn()
-			o.executed.Inc()
-			return whole(result)
+			o.retryBudget.deposit()
+			o.executedCalls.Inc()
+			return wholeAnswer(result)
 		}
-		last = err
+		lastErr = err
 	}
-	if last != nil && errors.Is(last, engine.ErrUnknown) {
+	if lastErr != nil && errors.Is(lastErr, engine.ErrUnknown) {
 		return chain.Refuse(deny.New(deny.KindUnavailable, "service %s did not answer", order.Service).
 			WithExecuted(deny.ExecutedUnknown).WithRetryAfter(time.Second))
 	}
-	return unavailable("no target of service %s could be reached", order.Service)
+	return refuseUnavailable("no target of service %s could be reached", order.Service)
 }
 
-// outcomeUnknown refuses a call of which nobody can say whether it ran.
-func (o *Once) outcomeUnknown(detail string) chain.Answer {
-	o.unknown.Inc()
+// refuseOutcomeUnknown refuses a call that may or may not have been executed.
+func (o *Once) refuseOutcomeUnknown(detail string) chain.Answer {
+	o.unknownOutcomes.Inc()
 	return chain.Refuse(deny.New(deny.KindOutcome, "%s", detail).WithExecuted(deny.ExecutedUnknown).WithRetryAfter(time.Second))
 }
 
-// before returns a context that leaves time to settle before the call's own deadline.
-func before(ctx context.Context) context.Context {
+// withStatusReserve returns a context that ends statusTimeout before ctx, which leaves time for a status call.
+func withStatusReserve(ctx context.Context) context.Context {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return ctx
 	}
-	early, cancel := context.WithDeadline(ctx, deadline.Add(-settleBound))
+	shorter, cancel := context.WithDeadline(ctx, deadline.Add(-statusTimeout))
 	context.AfterFunc(ctx, cancel)
-	return early
+	return shorter
 }
 
-// conflict refuses a key that was used with another body.
-func conflict() chain.Answer {
+// refuseConflict refuses a call whose key was used with a different call.
+func refuseConflict() chain.Answer {
 	return chain.Refuse(deny.New(deny.KindConflict, "the key was used with another call; this call was not run"))
 }
 
-// unavailable refuses a call that was not run.
-func unavailable(format string, args ...any) chain.Answer {
+// refuseUnavailable refuses a call that was not executed.
+func refuseUnavailable(format string, args ...any) chain.Answer {
 	return chain.Refuse(deny.New(deny.KindUnavailable, format, args...).WithRetryAfter(time.Second))
 }
 
-// whole returns a service's answer.
-func whole(r engine.Result) chain.Answer {
-	return chain.Whole{Status: r.Status, ContentType: r.ContentType, Body: r.Body}
+// wholeAnswer returns a service's result as an answer to the caller.
+func wholeAnswer(result engine.Result) chain.Answer {
+	return chain.Whole{Status: result.Status, ContentType: result.ContentType, Body: result.Body}
 }
