--- a/entry/internal/keep/doc.go
+++ b/entry/internal/keep/doc.go
@@ -1,7 +1,7 @@
-// Package keep is the controller of generation logs.
+// Package keep is the controller that replicates the logs of generations.
 //
-// Its wanted state is that each costly generation has a copy of its prompt
-// and tokens at a peer in another failure domain, its keeper, so that it
-// outlives both its engine and its instance, and that no abandoned generation
-// goes on running at an engine.
+// Its desired state is that the prompt and tokens of each costly generation
+// are replicated to a peer, the generation's keeper, if possible in another
+// failure domain, so that the generation survives the loss of its engine and
+// of its instance; and that no abandoned generation keeps running at an engine.
 package keep
--- a/entry/internal/keep/keep.go
+++ b/entry/internal/keep/keep.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	flushPeriod  = 200 * time.Millisecond // flushPeriod is the time between two messages to a keeper, and the most that a copy lags.
-	flushTimeout = time.Second
-	cancelBound  = 2 * time.Second // cancelBound bounds the order to stop a generation.
-	heldLife     = 5 * time.Minute // heldLife is how long a copy is held without news of it.
+	flushInterval = 200 * time.Millisecond // flushInterval is between updates to a keeper and bounds the replication lag.
+	flushTimeout  = time.Second
+	cancelTimeout = 2 * time.Second // cancelTimeout bounds the request that cancels a generation at its engine.
+	replicaLife   = 5 * time.Minute // replicaLife is how long a replica is held after its last update.
 )
 
-// Fleet gives the members among which keepers are chosen.
+// Fleet gives access to the members, among which keepers are chosen.
 type Fleet interface {
 	// Self returns this instance.
 	Self() member.Member
-	// View returns the members.
+	// View returns the members as this instance knows them.
 	View() member.View
 }
 
-// Targets gives the addresses of engines.
+// Targets finds engines.
 type Targets interface {
 	// Find returns a known target by name.
 	Find(name string) (route.Candidate, bool)
@@ -38,168 +38,171 @@
 
 // Settings configures the controller.
 type Settings struct {
-	Costly int           // Costly is the number of tokens from which a generation's text is copied.
-	Linger time.Duration // Linger is how long an abandoned generation goes on, so that its caller may come back.
+	Costly int           // Costly is the number of tokens from which a generation's prompt and tokens are replicated.
+	Linger time.Duration // Linger is how long an abandoned generation keeps running, so that its caller can resume it.
 }
 
-// Keep sends copies of this instance's generations and holds those of others.
+// Keep replicates this instance's generations to their keepers and holds replicas of the generations of peers.
 type Keep struct {
 	*wait.Loop
-	settings Settings
-	fleet    Fleet
-	targets  Targets
-	engines  engine.Client
-	net      peer.Net
-	records  sync.Map // records holds a *record for each request running here.
-	copied   *metrics.Counter
-	orphans  *metrics.Counter
-
-	mu     sync.Mutex
-	held   map[string]held
-	closed []finished
+	settings           Settings
+	fleet              Fleet
+	targets            Targets
+	engines            engine.Client
+	peers              peer.Net
+	generations        sync.Map // generations maps request ids to a *generation for each generation of this instance.
+	replicatedTokens   *metrics.Counter
+	stoppedGenerations *metrics.Counter
+
+	mu       sync.Mutex
+	replicas map[string]replica
+	finished []finishedGeneration
 }
 
-// finished is a generation whose copy its keeper may forget.
-type finished struct {
+// finishedGeneration is a generation whose replica its keeper may delete.
+type finishedGeneration struct {
 	request string
 	keeper  string
 }
 
-// held is the copy of a peer's generation.
-type held struct {
-	log   wire.Log
-	from  string
-	heard time.Time
+// replica is the log of a peer's generation, for which this instance is the keeper.
+type replica struct {
+	log       wire.Log
+	origin    string
+	updatedAt time.Time
 }
 
 var _ relay.Journal = (*Keep)(nil)
 
-// New returns a controller that copies and holds logs.
-func New(s Settings, fleet Fleet, targets Targets, engines engine.Client, net peer.Net, set *metrics.Set) *Keep {
+// New returns a running controller.
+func New(s Settings, fleet Fleet, targets Targets, engines engine.Client, peers peer.Net, set *metrics.Set) *Keep {
 	k := &Keep{
-		settings: s,
-		fleet:    fleet,
-		targets:  targets,
-		engines:  engines,
-		net:      net,
-		held:     make(map[string]held),
-		copied:   set.GetOrCreateCounter("bramleywharf_log_tokens_copied_total"),
-		orphans:  set.GetOrCreateCounter("bramleywharf_generations_stopped_total"),
+		settings:           s,
+		fleet:              fleet,
+		targets:            targets,
+		engines:            engines,
+		peers:              peers,
+		replicas:           make(map[string]replica),
+		replicatedTokens:   set.GetOrCreateCounter("bramleywharf_log_tokens_copied_total"),
+		stoppedGenerations: set.GetOrCreateCounter("bramleywharf_generations_stopped_total"),
 	}
-	set.NewGauge("bramleywharf_logs_held", func() float64 { return float64(k.heldCount()) })
+	set.NewGauge("bramleywharf_logs_held", func() float64 { return float64(k.replicaCount()) })
 	k.Loop = wait.Start(k.loop)
 	return k
 }
 
-// Adopt lets an instance go on with a generation that runs or is held here.
+// Adopt hands a generation that runs here or of which a replica is held here over to a peer that continues it.
 func (k *Keep) Adopt(a wire.Adopt) wire.Message {
-	if r, ok := k.records.Load(a.Request); ok {
-		return wire.Adopted{Found: true, Log: r.(*record).take()}
+	if g, ok := k.generations.Load(a.Request); ok {
+		return wire.Adopted{Found: true, Log: g.(*generation).adopt()}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	h, ok := k.held[a.Request]
+	held, ok := k.replicas[a.Request]
 	if !ok {
 		return wire.Adopted{}
 	}
-	delete(k.held, a.Request)
-	return wire.Adopted{Found: true, Log: h.log}
+	delete(k.replicas, a.Request)
+	return wire.Adopted{Found: true, Log: held.log}
 }
 
-// Handle takes the news of a peer's generations.
+// Handle applies a peer's updates to the replicas of its generations.
 func (k *Keep) Handle(m wire.Keep) wire.Message {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var answer wire.Kept
-	for _, l := range m.Logs {
-		if l.Done {
-			if k.held[l.Request].from == m.From {
-				delete(k.held, l.Request)
+	for _, update := range m.Logs {
+		if update.Done {
+			if k.replicas[update.Request].origin == m.From {
+				delete(k.replicas, update.Request)
 			}
 			continue
 		}
-		h := k.held[l.Request]
-		next, ok := merge(h.log, l)
+		held := k.replicas[update.Request]
+		merged, ok := mergeLog(held.log, update)
 		if !ok {
-			answer.Unknown = append(answer.Unknown, l.Request)
+			answer.Unknown = append(answer.Unknown, update.Request)
 			continue
 		}
-		k.held[l.Request] = held{log: next, from: m.From, heard: time.Now()}
+		k.replicas[update.Request] = replica{log: merged, origin: m.From, updatedAt: time.Now()}
 	}
 	return answer
 }
 
-// Open returns the record of a generation that this instance begins to run.
-func (k *Keep) Open(spec flow.Spec, base int, texts []string) relay.Entry {
-	r := newRecord(k, spec, base, texts)
-	k.records.Store(spec.ID, r)
-	return r
+// Open returns the journal entry of a generation that this instance begins to run; texts are the tokens that are known
+// from firstOffset on.
+func (k *Keep) Open(spec flow.Spec, firstOffset int, texts []string) relay.Entry {
+	g := newGeneration(k, spec, firstOffset, texts)
+	k.generations.Store(spec.ID, g)
+	return g
 }
 
-// Stop ends the controller; copies held here are lost.
+// Stop ends the controller; the replicas held here are lost.
 func (k *Keep) Stop() {
 	k.Loop.Close()
 }
 
-// choose returns the keeper of a request: a live member, of another failure domain if there is one.
-func (k *Keep) choose(request string) string {
+// chooseKeeper returns the keeper of a request: a live member, in another failure domain if there is one, or an empty
+// name.
+func (k *Keep) chooseKeeper(request string) string {
 	self := k.fleet.Self()
-	var near, far []string
+	var sameDomain, candidates []string
 	for _, p := range k.fleet.View().Open() {
 		switch {
 		case p.Name == self.Name:
 		case p.Domain == self.Domain:
-			near = append(near, p.Name)
+			sameDomain = append(sameDomain, p.Name)
 		default:
-			far = append(far, p.Name)
+			candidates = append(candidates, p.Name)
 		}
 	}
-	if len(far) == 0 {
-		far = near
+	if len(candidates) == 0 {
+		candidates = sameDomain
 	}
-	if len(far) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return route.Rank("keeper/"+request, far)[0]
+	return route.Rank("keeper/"+request, candidates)[0]
 }
 
-// forget queues word to a keeper that a generation is finished.
-func (k *Keep) forget(f finished) {
+// queueFinished queues a finished generation, of which the next flush informs its keeper.
+func (k *Keep) queueFinished(f finishedGeneration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.closed = append(k.closed, f)
+	k.finished = append(k.finished, f)
 }
 
-// heldCount returns the number of copies held.
-func (k *Keep) heldCount() int {
+// replicaCount returns the number of replicas held.
+func (k *Keep) replicaCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.held)
+	return len(k.replicas)
 }
 
-// merge adds news to a copy; it fails when something is missing between the two. News that names no attempt adds tokens alone.
-func merge(old, news wire.Log) (wire.Log, bool) {
-	next := news
-	if news.AttemptID == "" {
+// mergeLog applies an update to a replica; it fails when tokens are missing between the two. An update without an
+// attempt id only adds tokens.
+func mergeLog(old, update wire.Log) (wire.Log, bool) {
+	merged := update
+	if update.AttemptID == "" {
 		if old.AttemptID == "" {
 			return old, false
 		}
-		next = old
+		merged = old
 	}
-	if news.Prompt == "" {
-		next.Prompt = old.Prompt
+	if update.Prompt == "" {
+		merged.Prompt = old.Prompt
 	}
-	next.Offset, next.Tokens = old.Offset, old.Tokens
-	at := news.Offset - old.Offset
+	merged.Offset, merged.Tokens = old.Offset, old.Tokens
+	kept := update.Offset - old.Offset
 	switch {
-	case len(news.Tokens) == 0:
-		return next, true
-	case news.Prompt != "":
-		next.Offset, next.Tokens = news.Offset, news.Tokens
-		return next, true
-	case len(old.Tokens) == 0 || at < 0 || at > len(old.Tokens):
+	case len(update.Tokens) == 0:
+		return merged, true
+	case update.Prompt != "":
+		merged.Offset, merged.Tokens = update.Offset, update.Tokens
+		return merged, true
+	case len(old.Tokens) == 0 || kept < 0 || kept > len(old.Tokens):
 		return old, false
 	}
-	next.Tokens = append(old.Tokens[:at:at], news.Tokens...)
-	return next, true
+	merged.Tokens = append(old.Tokens[:kept:kept], update.Tokens...)
+	return merged, true
 }
--- a/entry/internal/keep/loop.go
+++ b/entry/internal/keep/loop.go
@@ -9,16 +9,16 @@
 	"bramleywharf.example/core/wire"
 )
 
-// batch is what one keeper is told in one message.
+// batch holds the updates that one keeper gets in one message; the elements with the same index belong together.
 type batch struct {
-	logs    []wire.Log
-	records []*record
-	copied  []int
+	logs        []wire.Log
+	generations []*generation
+	replicated  []int
 }
 
-// loop copies logs and stops abandoned generations.
+// loop replicates logs and cancels abandoned generations until the controller is closed.
 func (k *Keep) loop(ctx context.Context) {
-	tick := time.NewTicker(flushPeriod)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -33,126 +33,128 @@
 	}
 }
 
-// flush sends each keeper its news.
+// flush sends each keeper what it lacks.
 func (k *Keep) flush(ctx context.Context) {
 	batches := make(map[string]*batch)
-	at := func(keeper string) *batch {
+	batchOf := func(keeper string) *batch {
 		if batches[keeper] == nil {
 			batches[keeper] = &batch{}
 		}
 		return batches[keeper]
 	}
 	k.mu.Lock()
-	for _, f := range k.closed {
-		b := at(f.keeper)
+	for _, f := range k.finished {
+		b := batchOf(f.keeper)
 		b.logs = append(b.logs, wire.Log{Request: f.request, Done: true})
-		b.records = append(b.records, nil)
-		b.copied = append(b.copied, 0)
+		b.generations = append(b.generations, nil)
+		b.replicated = append(b.replicated, 0)
 	}
-	k.closed = nil
+	k.finished = nil
 	k.mu.Unlock()
-	k.records.Range(func(_, value any) bool {
-		r := value.(*record)
-		if log, copied, ok := r.news(k.settings.Costly); ok {
-			b := at(k.settle(r))
-			b.logs = append(b.logs, log)
-			b.records = append(b.records, r)
-			b.copied = append(b.copied, copied)
+	k.generations.Range(func(_, value any) bool {
+		g := value.(*generation)
+		if update, replicated, ok := g.nextUpdate(k.settings.Costly); ok {
+			b := batchOf(k.ensureKeeper(g))
+			b.logs = append(b.logs, update)
+			b.generations = append(b.generations, g)
+			b.replicated = append(b.replicated, replicated)
 		}
 		return true
 	})
 	var group sync.WaitGroup
 	for keeper, b := range batches {
-		group.Go(func() { k.tell(ctx, keeper, b) })
+		group.Go(func() { k.sendBatch(ctx, keeper, b) })
 	}
 	group.Wait()
 }
 
-// settle returns the keeper of a record, a new one when the former is no longer open.
-func (k *Keep) settle(r *record) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	m, ok := k.fleet.View().Get(r.keeper)
+// ensureKeeper returns the keeper of a generation, after replacing one that is unknown, dead or leaving.
+func (k *Keep) ensureKeeper(g *generation) string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	m, ok := k.fleet.View().Get(g.keeper)
 	if !ok || m.State == member.Dead || m.Leaving {
-		r.keeper = k.choose(r.request)
-		r.told, r.whole, r.copied = false, false, 0
+		g.keeper = k.chooseKeeper(g.request)
+		g.keeperKnows, g.keeperHasPrompt, g.replicated = false, false, 0
 	}
-	return r.keeper
+	return g.keeper
 }
 
-// tell sends one keeper its batch.
-func (k *Keep) tell(ctx context.Context, keeper string, b *batch) {
+// sendBatch sends a batch to its keeper and notes which updates the keeper has applied.
+func (k *Keep) sendBatch(ctx context.Context, keeper string, b *batch) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	m, ok := k.fleet.View().Get(keeper)
 	unknown := make(map[string]bool)
 	if ok {
-		answer, err := k.net.Ask(ctx, m.PeerAddress, wire.Keep{From: k.fleet.Self().Name, Logs: b.logs})
-		kept, isKept := answer.(wire.Kept)
+		reply, err := k.peers.Ask(ctx, m.PeerAddress, wire.Keep{From: k.fleet.Self().Name, Logs: b.logs})
+		kept, isKept := reply.(wire.Kept)
 		ok = err == nil && isKept
 		for _, request := range kept.Unknown {
 			unknown[request] = true
 		}
 	}
-	for i, r := range b.records {
-		if r == nil {
+	for i, g := range b.generations {
+		if g == nil {
 			continue
 		}
-		r.sent(b.logs[i], b.copied[i], ok && !unknown[r.request])
-		k.copied.Add(len(b.logs[i].Tokens))
+		g.confirmUpdate(b.logs[i], b.replicated[i], ok && !unknown[g.request])
+		k.replicatedTokens.Add(len(b.logs[i].Tokens))
 	}
 }
 
-// reap stops generations that were abandoned here or whose instance died.
+// reap cancels generations that were abandoned here, and those of dead members of which a replica is held here, once
+// they have lingered; it deletes replicas that are no longer updated.
 func (k *Keep) reap(group *sync.WaitGroup) {
 	now := time.Now()
-	k.records.Range(func(_, value any) bool {
-		k.reapRecord(value.(*record), now, group)
+	k.generations.Range(func(_, value any) bool {
+		k.reapGeneration(value.(*generation), now, group)
 		return true
 	})
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for request, h := range k.held {
-		quiet := now.Sub(h.heard)
-		m, known := k.fleet.View().Get(h.from)
-		lost := !known || m.State == member.Dead
-		if lost && quiet > k.settings.Linger {
-			delete(k.held, request)
-			k.stop(attempt{target: h.log.Target, id: h.log.AttemptID}, group)
+	for request, held := range k.replicas {
+		silence := now.Sub(held.updatedAt)
+		m, known := k.fleet.View().Get(held.origin)
+		isOriginLost := !known || m.State == member.Dead
+		if isOriginLost && silence > k.settings.Linger {
+			delete(k.replicas, request)
+			k.cancelAttempt(attempt{target: held.log.Target, id: held.log.AttemptID}, group)
 			continue
 		}
-		if quiet > heldLife {
-			delete(k.held, request)
+		if silence > replicaLife {
+			delete(k.replicas, request)
 		}
 	}
 }
 
-// reapRecord ends a record that was taken or abandoned for long enough.
-func (k *Keep) reapRecord(r *record, now time.Time, group *sync.WaitGroup) {
-	r.mu.Lock()
-	left, taken, due := r.left, r.isTaken, now.Sub(r.leftAt) > k.settings.Linger
-	r.mu.Unlock()
-	if (len(left) == 0 && !taken) || !due {
+// reapGeneration closes a generation that was adopted or abandoned longer than Linger ago, and cancels its attempts
+// unless it was adopted.
+func (k *Keep) reapGeneration(g *generation, now time.Time, group *sync.WaitGroup) {
+	g.mu.Lock()
+	abandoned, wasAdopted, isDue := g.abandoned, g.isAdopted, now.Sub(g.releasedAt) > k.settings.Linger
+	g.mu.Unlock()
+	if (len(abandoned) == 0 && !wasAdopted) || !isDue {
 		return
 	}
-	r.Close()
-	if taken {
+	g.Close()
+	if wasAdopted {
 		return
 	}
-	for _, a := range left {
-		k.stop(a, group)
+	for _, a := range abandoned {
+		k.cancelAttempt(a, group)
 	}
 }
 
-// stop cancels a run at its engine.
-func (k *Keep) stop(a attempt, group *sync.WaitGroup) {
+// cancelAttempt cancels an attempt at its engine in the background.
+func (k *Keep) cancelAttempt(a attempt, group *sync.WaitGroup) {
 	target, ok := k.targets.Find(a.target)
 	if !ok {
 		return
 	}
-	k.orphans.Inc()
+	k.stoppedGenerations.Inc()
 	group.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelBound)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		_ = k.engines.Cancel(ctx, target.Address, a.id)
 	})
--- a/entry/internal/keep/record.go
+++ b/entry/internal/keep/record.go
@@ -9,167 +9,168 @@
 	"bramleywharf.example/entry/internal/relay"
 )
 
-// record is what this instance knows of one of its generations.
-type record struct {
-	owner *Keep
-	taken chan struct{}
-
-	mu       sync.Mutex
-	request  string
-	spec     flow.Spec
-	progress relay.Progress
-	base     int // base is the offset of the first of tokens.
-	tokens   []string
-	copied   int // copied counts the tokens that the keeper has.
-	keeper   string
-	attempt  string // attempt is the attempt that the keeper knows of.
-	told     bool   // told tells whether the keeper knows of the generation.
-	whole    bool   // whole tells whether the keeper has the prompt.
-	fresh    bool   // fresh tells whether there is news for the keeper.
-	isTaken  bool
-	left     []attempt
-	leftAt   time.Time
+// generation is the state of a generation that runs on this instance, and of its replication.
+type generation struct {
+	keep    *Keep
+	adopted chan struct{}
+
+	mu              sync.Mutex
+	request         string
+	spec            flow.Spec
+	lastProgress    relay.Progress
+	firstOffset     int // firstOffset is the offset of tokens[0] in the answer.
+	tokens          []string
+	replicated      int // replicated is how many of tokens the keeper has.
+	keeper          string
+	keeperAttemptID string // keeperAttemptID is the attempt that the keeper knows.
+	keeperKnows     bool   // keeperKnows tells whether the keeper has a replica of the generation.
+	keeperHasPrompt bool   // keeperHasPrompt tells whether that replica holds the prompt.
+	isDirty         bool   // isDirty tells whether the keeper may lack something.
+	isAdopted       bool
+	abandoned       []attempt
+	releasedAt      time.Time // releasedAt is when the generation was last abandoned or first adopted.
 }
 
-// attempt names one run at an engine.
+// attempt identifies one run of a generation on an engine.
 type attempt struct {
 	target string
 	id     string
 }
 
-var _ relay.Entry = (*record)(nil)
-
-// newRecord returns the record of a generation of which the tokens from an offset on are known.
-func newRecord(k *Keep, spec flow.Spec, base int, texts []string) *record {
-	return &record{
-		owner:   k,
-		taken:   make(chan struct{}),
-		request: spec.ID,
-		spec:    spec,
-		base:    base,
-		tokens:  texts[:len(texts):len(texts)],
-		keeper:  k.choose(spec.ID),
+var _ relay.Entry = (*generation)(nil)
+
+// newGeneration returns a generation whose tokens from firstOffset on are known.
+func newGeneration(k *Keep, spec flow.Spec, firstOffset int, texts []string) *generation {
+	return &generation{
+		keep:        k,
+		adopted:     make(chan struct{}),
+		request:     spec.ID,
+		spec:        spec,
+		firstOffset: firstOffset,
+		tokens:      texts[:len(texts):len(texts)],
+		keeper:      k.chooseKeeper(spec.ID),
 	}
 }
 
-// Abandon stops an attempt after a while unless the generation is taken by then.
-func (r *record) Abandon(target, id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.left = append(r.left, attempt{target: target, id: id})
-	r.leftAt = time.Now()
+// Abandon marks an attempt to be cancelled after Linger unless the generation is adopted by then.
+func (g *generation) Abandon(target, id string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.abandoned = append(g.abandoned, attempt{target: target, id: id})
+	g.releasedAt = time.Now()
 }
 
-// Close forgets the generation here and at its keeper.
-func (r *record) Close() {
-	r.owner.records.CompareAndDelete(r.request, r)
-	r.mu.Lock()
-	keeper, told := r.keeper, r.told
-	r.mu.Unlock()
-	if told {
-		r.owner.forget(finished{request: r.request, keeper: keeper})
+// Close deletes the generation here and its replica at the keeper.
+func (g *generation) Close() {
+	g.keep.generations.CompareAndDelete(g.request, g)
+	g.mu.Lock()
+	keeper, keeperKnows := g.keeper, g.keeperKnows
+	g.mu.Unlock()
+	if keeperKnows {
+		g.keep.queueFinished(finishedGeneration{request: g.request, keeper: keeper})
 	}
 }
 
-// Keeper returns the peer that holds the copy of the generation.
-func (r *record) Keeper() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.keeper
+// Keeper returns the name of the peer that holds the replica, or an empty name.
+func (g *generation) Keeper() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.keeper
 }
 
-// Note records a token; one that does not follow the last begins the text anew.
-func (r *record) Note(p relay.Progress) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if p.Token.Offset != r.base+len(r.tokens) {
-		r.base, r.tokens = p.Token.Offset, nil
-		r.told, r.whole, r.copied = false, false, 0
+// Note records a token. A token that does not follow the last one replaces all tokens before.
+func (g *generation) Note(p relay.Progress) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if p.Token.Offset != g.firstOffset+len(g.tokens) {
+		g.firstOffset, g.tokens = p.Token.Offset, nil
+		g.keeperKnows, g.keeperHasPrompt, g.replicated = false, false, 0
 	}
-	r.progress = p
-	r.tokens = append(r.tokens, p.Token.Text)
-	r.fresh = true
+	g.lastProgress = p
+	g.tokens = append(g.tokens, p.Token.Text)
+	g.isDirty = true
 }
 
-// Taken returns a channel that closes when another owner goes on with the generation.
-func (r *record) Taken() <-chan struct{} {
-	return r.taken
+// Taken returns a channel that is closed when the generation is adopted and continues elsewhere.
+func (g *generation) Taken() <-chan struct{} {
+	return g.adopted
 }
 
-// log returns all that is known of the generation.
-func (r *record) log() wire.Log {
-	l := r.stub()
-	l.Prompt = r.spec.Prompt
-	l.Offset = r.base
-	l.Tokens = r.tokens[:len(r.tokens):len(r.tokens)]
-	return l
+// fullLog returns the header, the prompt and all known tokens.
+func (g *generation) fullLog() wire.Log {
+	full := g.header()
+	full.Prompt = g.spec.Prompt
+	full.Offset = g.firstOffset
+	full.Tokens = g.tokens[:len(g.tokens):len(g.tokens)]
+	return full
 }
 
-// news returns what the keeper lacks and how many tokens it will have, or false when there is nothing to say.
-func (r *record) news(costly int) (wire.Log, int, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.fresh || r.keeper == "" {
+// nextUpdate returns what the keeper lacks and how many tokens it will then have, or false if it lacks nothing.
+func (g *generation) nextUpdate(costly int) (wire.Log, int, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.isDirty || g.keeper == "" {
 		return wire.Log{}, 0, false
 	}
-	if r.base+len(r.tokens) < costly || r.spec.Prompt == "" {
-		return r.stub(), 0, !r.told
+	if g.firstOffset+len(g.tokens) < costly || g.spec.Prompt == "" {
+		return g.header(), 0, !g.keeperKnows
 	}
-	if !r.whole {
-		return r.log(), len(r.tokens), true
+	if !g.keeperHasPrompt {
+		return g.fullLog(), len(g.tokens), true
 	}
-	l := wire.Log{Request: r.request}
-	if r.attempt != r.progress.AttemptID {
-		l = r.stub()
+	update := wire.Log{Request: g.request}
+	if g.keeperAttemptID != g.lastProgress.AttemptID {
+		update = g.header()
 	}
-	l.Offset = r.base + r.copied
-	l.Tokens = r.tokens[r.copied:len(r.tokens):len(r.tokens)]
-	return l, len(r.tokens), true
+	update.Offset = g.firstOffset + g.replicated
+	update.Tokens = g.tokens[g.replicated:len(g.tokens):len(g.tokens)]
+	return update, len(g.tokens), true
 }
 
-// sent notes what the keeper has of an attempt, or that it has to be told all again.
-func (r *record) sent(l wire.Log, copied int, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// confirmUpdate notes that the keeper has applied an update and how many tokens it has now. After a failure, everything
+// is sent again.
+func (g *generation) confirmUpdate(update wire.Log, replicated int, ok bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if !ok {
-		r.told, r.whole, r.copied = false, false, 0
+		g.keeperKnows, g.keeperHasPrompt, g.replicated = false, false, 0
 		return
 	}
-	r.told = true
-	if l.AttemptID != "" {
-		r.attempt = l.AttemptID
+	g.keeperKnows = true
+	if update.AttemptID != "" {
+		g.keeperAttemptID = update.AttemptID
 	}
-	if copied > 0 {
-		r.whole, r.copied = true, copied
-		r.fresh = copied < len(r.tokens)
+	if replicated > 0 {
+		g.keeperHasPrompt, g.replicated = true, replicated
+		g.isDirty = replicated < len(g.tokens)
 	}
 }
 
-// stub returns what names the generation, without its text.
-func (r *record) stub() wire.Log {
+// header returns a log that identifies the generation and its attempt, without prompt and tokens.
+func (g *generation) header() wire.Log {
 	return wire.Log{
-		Request:      r.request,
-		Organisation: r.spec.Organisation,
-		Model:        r.spec.Model,
-		Adapter:      r.spec.Adapter,
-		Version:      r.spec.Version,
-		Seed:         r.spec.Seed,
-		MaxTokens:    r.spec.MaxTokens,
-		Priority:     r.spec.Priority,
-		Target:       r.progress.Target,
-		Attempt:      r.progress.Attempt,
-		AttemptID:    r.progress.AttemptID,
+		Request:      g.request,
+		Organisation: g.spec.Organisation,
+		Model:        g.spec.Model,
+		Adapter:      g.spec.Adapter,
+		Version:      g.spec.Version,
+		Seed:         g.spec.Seed,
+		MaxTokens:    g.spec.MaxTokens,
+		Priority:     g.spec.Priority,
+		Target:       g.lastProgress.Target,
+		Attempt:      g.lastProgress.Attempt,
+		AttemptID:    g.lastProgress.AttemptID,
 	}
 }
 
-// take gives the generation to another owner and returns all that is known of it.
-func (r *record) take() wire.Log {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.isTaken {
-		r.isTaken = true
-		r.leftAt = time.Now()
-		close(r.taken)
+// adopt marks the generation as adopted by another owner and returns its full log.
+func (g *generation) adopt() wire.Log {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.isAdopted {
+		g.isAdopted = true
+		g.releasedAt = time.Now()
+		close(g.adopted)
 	}
-	return r.log()
+	return g.fullLog()
 }
