--- a/entry/internal/lend/account.go
+++ b/entry/internal/lend/account.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// account is what this instance holds and spends of one organisation's ceiling.
+// account counts the slots of one organisation's ceiling that this instance was granted and uses.
 type account struct {
-	running atomic.Int64
-	waiting atomic.Int64
-	held    atomic.Int64
-	until   atomic.Int64 // until is when held lapses, in nanoseconds since the controller began.
-	used    atomic.Int64 // used is when a slot was last asked for, in the same measure.
-	granted chan struct{}
+	running atomic.Int64 // running counts the generations that hold a slot.
+	waiting atomic.Int64 // waiting counts the requests that wait for a slot.
+	granted atomic.Int64
+	expiry  atomic.Int64  // expiry is when the granted slots expire, in nanoseconds since the controller started.
+	lastUse atomic.Int64  // lastUse is when a slot was last requested, in the same unit.
+	wakeups chan struct{} // wakeups, of capacity 1, lets a waiting request check for a free slot.
 }
 
-// newAccount returns an account that holds nothing.
+// newAccount returns an account without slots.
 func newAccount() *account {
-	return &account{granted: make(chan struct{}, 1)}
+	return &account{wakeups: make(chan struct{}, 1)}
 }
 
-// release gives a slot back.
+// release returns a slot to the account.
 func (a *account) release() {
 	a.running.Add(-1)
-	a.wake()
+	a.wakeWaiter()
 }
 
-// set takes a grant that lapses at a time.
-func (a *account) set(slots int, until time.Duration) {
-	a.held.Store(int64(slots))
-	a.until.Store(int64(until))
-	a.wake()
+// setGrant replaces the granted slots and their expiry.
+func (a *account) setGrant(slots int, expiry time.Duration) {
+	a.granted.Store(int64(slots))
+	a.expiry.Store(int64(expiry))
+	a.wakeWaiter()
 }
 
-// spend takes a slot if one is held and free.
-func (a *account) spend(now time.Duration) bool {
+// tryAcquire takes a slot if a granted one is free.
+func (a *account) tryAcquire(now time.Duration) bool {
 	for {
 		running := a.running.Load()
-		if running >= a.valid(now) {
+		if running >= a.usableSlots(now) {
 			return false
 		}
 		if a.running.CompareAndSwap(running, running+1) {
@@ -46,24 +46,24 @@
 	}
 }
 
-// valid returns the slots that may be spent now.
-func (a *account) valid(now time.Duration) int64 {
-	if a.until.Load() < int64(now) {
+// usableSlots returns the number of granted slots that have not expired.
+func (a *account) usableSlots(now time.Duration) int64 {
+	if a.expiry.Load() < int64(now) {
 		return 0
 	}
-	return a.held.Load()
+	return a.granted.Load()
 }
 
-// wake lets one waiting request look again.
-func (a *account) wake() {
+// wakeWaiter lets one waiting request check for a free slot.
+func (a *account) wakeWaiter() {
 	select {
-	case a.granted <- struct{}{}:
+	case a.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// wanted returns the slots that this instance asks for, some to spare for the next requests.
-func (a *account) wanted() int {
-	need := int(a.running.Load() + a.waiting.Load())
-	return need + need/4 + 1
+// wantedSlots returns the number of slots to borrow, with a quarter and one to spare for the next requests.
+func (a *account) wantedSlots() int {
+	needed := int(a.running.Load() + a.waiting.Load())
+	return needed + needed/4 + 1
 }
--- a/entry/internal/lend/doc.go
+++ b/entry/internal/lend/doc.go
@@ -1,7 +1,8 @@
-// Package lend is the controller of voted ceilings.
+// Package lend is the controller that enforces the ceilings of organisations:
+// the generations that may run at once in the whole fleet.
 //
-// Its wanted state is that this instance holds the slots its organisations
-// need, borrowed from each organisation's lender: the member that comes first
-// in rendezvous order for the organisation. Requests spend slots with atomic
-// operations and never wait for the platform.
+// Its desired state is that this instance holds the slots that its
+// organisations need. It borrows them from each organisation's lender, which is
+// the first member in rendezvous order for the organisation. Requests take and
+// return slots with atomic operations and never wait for the platform.
 package lend
--- a/entry/internal/lend/lend.go
+++ b/entry/internal/lend/lend.go
@@ -16,102 +16,103 @@
 )
 
 const (
-	renewPeriod  = time.Second                             // renewPeriod is the time between two renewals, well under limit.Life.
-	kickPause    = 5 * time.Millisecond                    // kickPause gathers requests that need slots at the same time.
-	borrowBound  = 700 * time.Millisecond                  // borrowBound bounds one question to a lender.
-	idleAfter    = 10 * time.Second                        // idleAfter is when an unused account is given back.
-	waitBound    = limit.Life + limit.Margin + time.Second // waitBound bounds how long a request waits for a slot: longer than a new lender's quiet time.
-	lookAgain    = 50 * time.Millisecond                   // lookAgain is how often a waiting request looks by itself.
-	waitersBound = 64                                      // waitersBound bounds the requests of one organisation that wait here.
+	renewInterval = time.Second            // renewInterval must stay well below limit.Life.
+	batchDelay    = 5 * time.Millisecond   // batchDelay lets requests that need slots at once share a message.
+	borrowTimeout = 700 * time.Millisecond // borrowTimeout bounds one exchange with a lender.
+	idleTimeout   = 10 * time.Second       // idleTimeout is when the slots of an unused account are no longer renewed.
+	// acquireTimeout bounds the wait for a slot. A new lender grants nothing new for limit.Life + limit.Margin.
+	acquireTimeout  = limit.Life + limit.Margin + time.Second
+	recheckInterval = 50 * time.Millisecond // recheckInterval is how often a waiting request checks without being woken.
+	maxWaiters      = 64                    // maxWaiters bounds the requests of one organisation that wait here.
 )
 
 // ErrCeiling is returned when no slot of an organisation's ceiling is free.
 var ErrCeiling = errors.New("ceiling of the organisation is reached")
 
-// Fleet gives the members, one of which lends.
+// Fleet gives access to the members, one of which is the lender of an organisation.
 type Fleet interface {
 	// Self returns this instance.
 	Self() member.Member
-	// View returns the members.
+	// View returns the members as this instance knows them.
 	View() member.View
 }
 
-// Source gives the ceilings in force.
+// Source gives access to the configured ceilings.
 type Source interface {
-	// Snapshot returns the snapshot in force, however old.
+	// Snapshot returns the last known configuration, however old.
 	Snapshot() *conf.Snapshot
 }
 
 // Lend borrows slots for this instance and lends them to others.
 type Lend struct {
 	*wait.Loop
-	fleet    Fleet
-	source   Source
-	net      peer.Net
-	began    time.Time
-	accounts sync.Map // accounts holds an *account for each organisation used here.
-	kick     chan struct{}
-	refused  *metrics.Counter
-	floors   *metrics.Counter
-
-	mu     sync.Mutex
-	books  map[string]limit.Book
-	tenure tenure
+	fleet       Fleet
+	config      Source
+	peers       peer.Net
+	startedAt   time.Time
+	accounts    sync.Map // accounts maps organisations to their *account.
+	borrowNow   chan struct{}
+	refusals    *metrics.Counter
+	floorGrants *metrics.Counter
+
+	mu      sync.Mutex
+	books   map[string]limit.Book // books maps organisations to what was lent of their ceilings.
+	history lenderHistory
 }
 
-// New returns a controller that borrows and lends.
-func New(fleet Fleet, source Source, net peer.Net, set *metrics.Set) *Lend {
+// New returns a running controller.
+func New(fleet Fleet, config Source, peers peer.Net, set *metrics.Set) *Lend {
 	l := &Lend{
-		fleet:   fleet,
-		source:  source,
-		net:     net,
-		began:   time.Now(),
-		kick:    make(chan struct{}, 1),
-		books:   make(map[string]limit.Book),
-		tenure:  tenure{self: fleet.Self().Name, began: time.Now()},
-		refused: set.GetOrCreateCounter("bramleywharf_ceiling_refusals_total"),
-		floors:  set.GetOrCreateCounter("bramleywharf_ceiling_floors_total"),
+		fleet:       fleet,
+		config:      config,
+		peers:       peers,
+		startedAt:   time.Now(),
+		borrowNow:   make(chan struct{}, 1),
+		books:       make(map[string]limit.Book),
+		history:     lenderHistory{self: fleet.Self().Name, startedAt: time.Now()},
+		refusals:    set.GetOrCreateCounter("bramleywharf_ceiling_refusals_total"),
+		floorGrants: set.GetOrCreateCounter("bramleywharf_ceiling_floors_total"),
 	}
 	l.Loop = wait.Start(l.loop)
 	return l
 }
 
-// Acquire takes a slot of an organisation's ceiling, waiting a little for one to be lent.
+// Acquire takes a slot of an organisation's ceiling; if none is free, it waits for one for up to acquireTimeout.
 func (l *Lend) Acquire(ctx context.Context, organisation string) (release func(), err error) {
-	a := l.account(organisation)
-	a.used.Store(int64(l.now()))
-	if a.spend(l.now()) {
+	a := l.accountOf(organisation)
+	a.lastUse.Store(int64(l.elapsed()))
+	if a.tryAcquire(l.elapsed()) {
 		return a.release, nil
 	}
-	if a.waiting.Add(1) > waitersBound {
+	if a.waiting.Add(1) > maxWaiters {
 		a.waiting.Add(-1)
-		l.refused.Inc()
+		l.refusals.Inc()
 		return nil, ErrCeiling
 	}
 	defer a.waiting.Add(-1)
-	l.wake()
-	return l.wait(ctx, a)
+	l.triggerBorrow()
+	return l.waitForSlot(ctx, a)
 }
 
-// Handle lends to a borrower.
-func (l *Lend) Handle(b wire.Borrow) wire.Message {
+// Handle answers a member that borrows slots.
+func (l *Lend) Handle(request wire.Borrow) wire.Message {
 	answer := wire.Lent{Life: limit.Life}
-	for _, w := range b.Wants {
-		answer.Slots = append(answer.Slots, l.lend(b.From, w))
+	for _, want := range request.Wants {
+		answer.Slots = append(answer.Slots, l.grant(request.From, want))
 	}
 	return answer
 }
 
-// Take takes a slot whether one is free or not.
+// Take takes a slot even if none is free, so that more slots may be in use than were granted.
 func (l *Lend) Take(organisation string) (release func()) {
-	a := l.account(organisation)
-	a.used.Store(int64(l.now()))
+	a := l.accountOf(organisation)
+	a.lastUse.Store(int64(l.elapsed()))
 	a.running.Add(1)
 	return a.release
 }
 
-// account returns the account of an organisation.
-func (l *Lend) account(organisation string) *account {
+// accountOf returns the account of an organisation, which it creates if need be.
+func (l *Lend) accountOf(organisation string) *account {
 	if a, ok := l.accounts.Load(organisation); ok {
 		return a.(*account)
 	}
@@ -119,63 +120,63 @@
 	return a.(*account)
 }
 
-// lend grants slots of one organisation's ceiling.
-func (l *Lend) lend(from string, w wire.Want) int {
+// grant decides how many slots of an organisation's ceiling a borrower gets.
+func (l *Lend) grant(from string, want wire.Want) int {
 	now := time.Now()
-	voted, _, ok := l.source.Snapshot().Limit(w.Organisation)
+	orgLimit, _, ok := l.config.Snapshot().Limit(want.Organisation)
 	if !ok {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tenure.observe(l.fleet.View(), now)
-	book, ok := l.books[w.Organisation]
-	if since := l.tenure.since(w.Organisation); !ok || book.Opened().Before(since) {
+	l.history.observe(l.fleet.View(), now)
+	book, ok := l.books[want.Organisation]
+	if since := l.history.lenderSince(want.Organisation); !ok || book.Opened().Before(since) {
 		book = limit.Open(since)
 	}
-	ask := limit.Ask{From: from, Running: w.Running, Held: w.Held, Wanted: w.Wanted}
+	ask := limit.Ask{From: from, Running: want.Running, Held: want.Held, Wanted: want.Wanted}
 	var granted int
-	l.books[w.Organisation], granted = book.WithAsk(ask, voted.Ceiling, now)
+	l.books[want.Organisation], granted = book.WithAsk(ask, orgLimit.Ceiling, now)
 	return granted
 }
 
-// now returns the time since the controller began, by the monotonic clock.
-func (l *Lend) now() time.Duration {
-	return time.Since(l.began)
+// elapsed returns the time since the controller started, by the monotonic clock.
+func (l *Lend) elapsed() time.Duration {
+	return time.Since(l.startedAt)
 }
 
-// wait waits for a slot.
-func (l *Lend) wait(ctx context.Context, a *account) (func(), error) {
-	limit := time.NewTimer(waitBound)
-	defer limit.Stop()
-	again := time.NewTicker(lookAgain)
-	defer again.Stop()
+// waitForSlot waits until a slot is free and takes it.
+func (l *Lend) waitForSlot(ctx context.Context, a *account) (func(), error) {
+	timeout := time.NewTimer(acquireTimeout)
+	defer timeout.Stop()
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-limit.C:
-			l.refused.Inc()
+		case <-timeout.C:
+			l.refusals.Inc()
 			return nil, ErrCeiling
-		case <-again.C:
-		case <-a.granted:
+		case <-recheck.C:
+		case <-a.wakeups:
 		}
-		if a.spend(l.now()) {
-			a.wake()
+		if a.tryAcquire(l.elapsed()) {
+			a.wakeWaiter()
 			return a.release, nil
 		}
 	}
 }
 
-// wake makes the loop borrow now.
-func (l *Lend) wake() {
+// triggerBorrow makes the loop borrow without waiting for the next renewal.
+func (l *Lend) triggerBorrow() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.borrowNow <- struct{}{}:
 	default:
 	}
 }
 
-// lender returns the member that lends an organisation's ceiling.
-func lender(view member.View, organisation string) (member.Member, bool) {
-	return view.Get(first(organisation, candidates(view)))
+// lenderOf returns the member that lends an organisation's ceiling.
+func lenderOf(view member.View, organisation string) (member.Member, bool) {
+	return view.Get(chooseLender(organisation, lenderCandidates(view)))
 }
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -11,110 +11,111 @@
 	"bramleywharf.example/core/wire"
 )
 
-// question is what one lender is asked in one message.
-type question struct {
-	to       member.Member
+// borrowRequest asks one lender for slots of several organisations; wants and accounts have the same order.
+type borrowRequest struct {
+	lender   member.Member
 	wants    []wire.Want
 	accounts []*account
 }
 
-// loop renews what is held and borrows what is needed.
+// loop renews grants and borrows slots that are needed until the controller is closed.
 func (l *Lend) loop(ctx context.Context) {
-	tick := time.NewTicker(renewPeriod)
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-l.kick:
-			wait.For(ctx, kickPause)
+		case <-l.borrowNow:
+			wait.For(ctx, batchDelay)
 		}
 		l.borrow(ctx)
 		l.mu.Lock()
-		l.tenure.observe(l.fleet.View(), time.Now())
+		l.history.observe(l.fleet.View(), time.Now())
 		l.mu.Unlock()
 	}
 }
 
-// ask sends one lender its question and takes the grants.
-func (l *Lend) ask(ctx context.Context, q *question) {
-	sent := l.now()
-	m := wire.Borrow{From: l.fleet.Self().Name, Wants: q.wants}
+// borrowFrom sends a request to its lender and applies the grants, or the floors if the lender does not answer.
+func (l *Lend) borrowFrom(ctx context.Context, r *borrowRequest) {
+	sentAt := l.elapsed()
+	m := wire.Borrow{From: l.fleet.Self().Name, Wants: r.wants}
 	var answer wire.Message
 	var err error
-	if q.to.Name == m.From {
+	if r.lender.Name == m.From {
 		answer = l.Handle(m)
 	} else {
-		ctx, cancel := context.WithTimeout(ctx, borrowBound)
+		ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 		defer cancel()
-		answer, err = l.net.Ask(ctx, q.to.PeerAddress, m)
+		answer, err = l.peers.Ask(ctx, r.lender.PeerAddress, m)
 	}
 	lent, ok := answer.(wire.Lent)
-	if err != nil || !ok || len(lent.Slots) != len(q.wants) {
-		l.fall(q)
+	if err != nil || !ok || len(lent.Slots) != len(r.wants) {
+		l.grantFloors(r)
 		return
 	}
-	for i, a := range q.accounts {
-		a.set(lent.Slots[i], sent+lent.Life)
+	for i, a := range r.accounts {
+		a.setGrant(lent.Slots[i], sentAt+lent.Life)
 	}
 }
 
-// borrow asks each lender for the slots of its organisations.
+// borrow asks the lenders for the slots that this instance needs, with one message per lender.
 func (l *Lend) borrow(ctx context.Context) {
 	view := l.fleet.View()
-	questions := make(map[string]*question)
+	requests := make(map[string]*borrowRequest)
 	l.accounts.Range(func(key, value any) bool {
 		organisation, a := key.(string), value.(*account)
-		to, ok := lender(view, organisation)
-		if !ok || l.idle(a) {
+		lender, ok := lenderOf(view, organisation)
+		if !ok || l.isIdle(a) {
 			return true
 		}
-		q := questions[to.Name]
-		if q == nil {
-			q = &question{to: to}
-			questions[to.Name] = q
+		r := requests[lender.Name]
+		if r == nil {
+			r = &borrowRequest{lender: lender}
+			requests[lender.Name] = r
 		}
-		q.wants = append(q.wants, wire.Want{
+		r.wants = append(r.wants, wire.Want{
 			Organisation: organisation,
 			Running:      int(a.running.Load()),
-			Held:         int(a.valid(l.now())),
-			Wanted:       a.wanted(),
+			Held:         int(a.usableSlots(l.elapsed())),
+			Wanted:       a.wantedSlots(),
 		})
-		q.accounts = append(q.accounts, a)
+		r.accounts = append(r.accounts, a)
 		return true
 	})
 	var group sync.WaitGroup
-	for _, q := range questions {
-		group.Go(func() { l.ask(ctx, q) })
+	for _, r := range requests {
+		group.Go(func() { l.borrowFrom(ctx, r) })
 	}
 	group.Wait()
 }
 
-// fall gives lapsed accounts the part of the ceiling that may be spent without a lender.
-func (l *Lend) fall(q *question) {
-	rank, members := l.place()
-	for i, a := range q.accounts {
-		if a.valid(l.now()) > 0 {
+// grantFloors grants expired accounts the part of the ceiling that each instance may use without a lender.
+func (l *Lend) grantFloors(r *borrowRequest) {
+	rank, members := l.rankByName()
+	for i, a := range r.accounts {
+		if a.usableSlots(l.elapsed()) > 0 {
 			continue
 		}
-		voted, _, ok := l.source.Snapshot().Limit(q.wants[i].Organisation)
+		orgLimit, _, ok := l.config.Snapshot().Limit(r.wants[i].Organisation)
 		if !ok {
 			continue
 		}
-		l.floors.Inc()
-		a.set(limit.Floor(voted.Ceiling, rank, members), l.now()+renewPeriod+borrowBound)
+		l.floorGrants.Inc()
+		a.setGrant(limit.Floor(orgLimit.Ceiling, rank, members), l.elapsed()+renewInterval+borrowTimeout)
 	}
 }
 
-// idle tells whether an account is unused for long, so that it lapses.
-func (l *Lend) idle(a *account) bool {
-	unused := l.now() - time.Duration(a.used.Load())
-	return a.running.Load() == 0 && a.waiting.Load() == 0 && unused > idleAfter
+// isIdle tells whether an account has been unused for idleTimeout.
+func (l *Lend) isIdle(a *account) bool {
+	unused := l.elapsed() - time.Duration(a.lastUse.Load())
+	return a.running.Load() == 0 && a.waiting.Load() == 0 && unused > idleTimeout
 }
 
-// place returns this instance's rank among all members known, dead ones included, and their number.
-func (l *Lend) place() (rank, members int) {
+// rankByName returns this instance's rank by name among the members that are not dead, and the number of members that
+// should be there: all but those that died after they had announced that they were leaving.
+func (l *Lend) rankByName() (rank, members int) {
 	view := l.fleet.View()
 	self := l.fleet.Self().Name
 	for _, m := range view.Live() {
--- a/entry/internal/lend/tenure.go
+++ b/entry/internal/lend/tenure.go
@@ -9,48 +9,50 @@
 	"bramleywharf.example/core/route"
 )
 
-// tenure remembers which members were alive lately, to tell since when this instance is the lender of an organisation.
-type tenure struct {
-	self  string
-	began time.Time
-	terms []term
+// lenderHistory tells since when this instance is the lender of an organisation, from the recent lender candidates.
+// Grants of a former lender are valid for at most limit.Life + limit.Margin, so older periods do not matter.
+type lenderHistory struct {
+	self      string
+	startedAt time.Time
+	periods   []period
 }
 
-// term is a time in which the same members were alive.
-type term struct {
-	from  time.Time
-	names []string
+// period is a time during which the lender candidates stayed the same.
+type period struct {
+	start      time.Time
+	candidates []string
 }
 
-// observe notes the members that are alive now.
-func (t *tenure) observe(view member.View, now time.Time) {
-	names := candidates(view)
-	if len(t.terms) > 0 && slices.Equal(t.terms[len(t.terms)-1].names, names) {
+// observe records the current candidates and removes periods that ended too long ago to matter.
+func (h *lenderHistory) observe(view member.View, now time.Time) {
+	candidates := lenderCandidates(view)
+	if len(h.periods) > 0 && slices.Equal(h.periods[len(h.periods)-1].candidates, candidates) {
 		return
 	}
-	t.terms = append(t.terms, term{from: now, names: names})
-	old := 0
-	for old+1 < len(t.terms) && now.Sub(t.terms[old+1].from) > limit.Life+limit.Margin {
-		old++
+	h.periods = append(h.periods, period{start: now, candidates: candidates})
+	expired := 0
+	for expired+1 < len(h.periods) && now.Sub(h.periods[expired+1].start) > limit.Life+limit.Margin {
+		expired++
 	}
-	t.terms = t.terms[old:]
+	h.periods = h.periods[expired:]
 }
 
-// since returns when this instance became the lender of an organisation, as far back as matters.
-func (t *tenure) since(organisation string) time.Time {
-	for i := len(t.terms) - 1; i >= 0; i-- {
-		if first(organisation, t.terms[i].names) != t.self {
-			return t.terms[min(i+1, len(t.terms)-1)].from
+// lenderSince returns when this instance became the lender of an organisation. If it has been the only candidate since
+// its start, nobody else can have lent slots that are still valid, and it returns a time before any of them.
+func (h *lenderHistory) lenderSince(organisation string) time.Time {
+	for i := len(h.periods) - 1; i >= 0; i-- {
+		if chooseLender(organisation, h.periods[i].candidates) != h.self {
+			return h.periods[min(i+1, len(h.periods)-1)].start
 		}
 	}
-	if len(t.terms) > 0 && len(t.terms[0].names) > 1 {
-		return t.began
+	if len(h.periods) > 0 && len(h.periods[0].candidates) > 1 {
+		return h.startedAt
 	}
-	return t.began.Add(-limit.Life - limit.Margin)
+	return h.startedAt.Add(-limit.Life - limit.Margin)
 }
 
-// candidates returns the names of the members that may lend, sorted.
-func candidates(view member.View) []string {
+// lenderCandidates returns the sorted names of the members that may lend: those alive and in contact.
+func lenderCandidates(view member.View) []string {
 	var names []string
 	for _, m := range view.Live() {
 		if m.State == member.Alive && m.Incarnation > 0 {
@@ -60,10 +62,10 @@
 	return names
 }
 
-// first returns the name that lends an organisation's ceiling among the candidates, or an empty name.
-func first(organisation string, names []string) string {
-	if len(names) == 0 {
+// chooseLender returns the candidate that lends an organisation's ceiling, or an empty name if there are no candidates.
+func chooseLender(organisation string, candidates []string) string {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return route.Rank("lender/"+organisation, names)[0]
+	return route.Rank("lender/"+organisation, candidates)[0]
 }
