--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -20,80 +20,81 @@
 )
 
 const (
-	watchers    = 3                       // watchers is the number of instances that watch the platform for all.
-	stickyWatch = 30 * time.Second        // stickyWatch is how long an instance that stepped in goes on watching.
-	watchWait   = 1500 * time.Millisecond // watchWait is how long one watch waits; its return shows that the platform lives.
-	idlePause   = 300 * time.Millisecond  // idlePause is the mean time between two looks at one's role.
-	backoffBase = 250 * time.Millisecond  // backoffBase is the first wait after a failed call.
-	backoffMax  = 4 * time.Second         // backoffMax bounds the wait after failed calls.
-	pullTimeout = time.Second             // pullTimeout bounds one pull from a peer.
-	// StaleAfter is the age from which an instance without a quorum no longer knows what is in force.
+	watcherCount      = 3                       // watcherCount is the number of instances that watch the platform for all.
+	minWatchTime      = 30 * time.Second        // minWatchTime is how long an instance that took over keeps watching.
+	longPollTimeout   = 1500 * time.Millisecond // longPollTimeout is when a long poll ends without changes.
+	roleCheckInterval = 300 * time.Millisecond  // roleCheckInterval is the mean time between checks whether to watch.
+	minBackoff        = 250 * time.Millisecond  // minBackoff is the mean delay after a first failed long poll.
+	maxBackoff        = 4 * time.Second         // maxBackoff bounds the mean delay after repeated failures.
+	pullTimeout       = time.Second             // pullTimeout bounds one pull from a peer.
+	// StaleAfter is the age from which an instance without a quorum no longer uses its configuration.
 	StaleAfter = 4 * time.Second
 )
 
-// stepIn holds from which age of the configuration how many instances watch, since those elected seem to be cut off.
-func stepIn(age time.Duration) int {
+// watcherCountAt returns how many instances should watch the platform when the configuration has an age. The older it
+// is, the more take over, because the elected ones seem to be cut off from the platform.
+func watcherCountAt(age time.Duration) int {
 	switch {
 	case age < 2200*time.Millisecond:
-		return watchers
+		return watcherCount
 	case age < 2500*time.Millisecond:
-		return 4 * watchers
+		return 4 * watcherCount
 	case age < 2800*time.Millisecond:
-		return 16 * watchers
+		return 16 * watcherCount
 	default:
 		return math.MaxInt
 	}
 }
 
-// ErrStale is returned while this instance cannot know what configuration is in force.
+// ErrStale is returned while this instance cannot know whether its configuration is current.
 var ErrStale = errors.New("instance is cut off from the platform and from most peers")
 
-// ErrEmpty is returned until the first configuration has been learnt.
+// ErrEmpty is returned until a first configuration has been received.
 var ErrEmpty = errors.New("instance has not learnt its configuration yet")
 
-// Roles tells the controller its place in the fleet.
+// Roles tells the controller what this instance does in the fleet.
 type Roles interface {
-	// Elected tells whether this instance is one of a few that act for all.
+	// Elected tells whether this instance is one of the count members that have a role.
 	Elected(role string, count int) bool
-	// Push tells other members at once that there is news.
+	// Push sends a heartbeat to some members at once, so that they learn of a new revision.
 	Push()
-	// Quorum tells whether most known members are reached.
+	// Quorum tells whether most members that should be there are reachable.
 	Quorum() bool
 }
 
-// Watch keeps the configuration in force.
+// Watch keeps the configuration up to date.
 type Watch struct {
 	*wait.Loop
-	store    store.Store
-	net      peer.Net
-	roles    Roles
-	log      log.Interface
-	snapshot *cell.Cell[*conf.Snapshot]
-	pulls    chan string
-	updates  *metrics.Counter
-	rejected *metrics.Counter
+	store           store.Store
+	peers           peer.Net
+	roles           Roles
+	log             log.Interface
+	snapshot        *cell.Cell[*conf.Snapshot]
+	pullAddresses   chan string // pullAddresses takes the address of a peer that has a newer revision.
+	updates         *metrics.Counter
+	rejectedObjects *metrics.Counter
 
-	mu   sync.Mutex
-	asOf time.Time // asOf is the latest time at which the snapshot was known to be the platform's newest.
+	mu          sync.Mutex
+	currentAsOf time.Time // currentAsOf is the latest time at which the snapshot was known to be the newest.
 }
 
-// New returns a controller that has not begun; Start begins it once its roles are known.
-func New(platform store.Store, net peer.Net, logger log.Interface, set *metrics.Set) *Watch {
+// New returns a controller that Start must run, once the roles are known.
+func New(platform store.Store, peers peer.Net, logger log.Interface, set *metrics.Set) *Watch {
 	w := &Watch{
-		store:    platform,
-		net:      net,
-		log:      logger,
-		snapshot: cell.New(conf.NewSnapshot()),
-		pulls:    make(chan string, 1),
-		updates:  set.GetOrCreateCounter("bramleywharf_config_updates_total"),
-		rejected: set.GetOrCreateCounter("bramleywharf_config_objects_rejected_total"),
+		store:           platform,
+		peers:           peers,
+		log:             logger,
+		snapshot:        cell.New(conf.NewSnapshot()),
+		pullAddresses:   make(chan string, 1),
+		updates:         set.GetOrCreateCounter("bramleywharf_config_updates_total"),
+		rejectedObjects: set.GetOrCreateCounter("bramleywharf_config_objects_rejected_total"),
 	}
 	set.NewGauge("bramleywharf_config_revision", func() float64 { return float64(w.Revision()) })
 	set.NewGauge("bramleywharf_config_age_seconds", func() float64 { return w.Age().Seconds() })
 	return w
 }
 
-// Start begins to watch in a role.
+// Start runs the controller.
 func (w *Watch) Start(roles Roles) {
 	w.roles = roles
 	w.Loop = wait.Start(func(ctx context.Context) {
@@ -104,33 +105,33 @@
 	})
 }
 
-// Age returns the time since the snapshot was known to be the newest.
+// Age returns the time since the snapshot was last known to be the newest; it is an hour if that never was the case.
 func (w *Watch) Age() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.asOf.IsZero() {
+	if w.currentAsOf.IsZero() {
 		return time.Hour
 	}
-	return time.Since(w.asOf)
+	return time.Since(w.currentAsOf)
 }
 
-// Current returns the snapshot in force, or an error while it cannot be known.
+// Current returns the snapshot, or an error while it is empty or cannot be known to be current.
 func (w *Watch) Current() (*conf.Snapshot, error) {
-	s := w.snapshot.Load()
-	if s.Revision() == 0 {
+	current := w.snapshot.Load()
+	if current.Revision() == 0 {
 		return nil, ErrEmpty
 	}
 	if w.Age() > StaleAfter && !w.roles.Quorum() {
 		return nil, ErrStale
 	}
-	return s, nil
+	return current, nil
 }
 
-// Handle answers a peer's pull.
-func (w *Watch) Handle(p wire.PullConfig) wire.Message {
-	s := w.snapshot.Load()
-	page := wire.ConfigPage{Revision: uint64(s.Revision())}
-	for _, e := range s.Entries(conf.Revision(p.After)) {
+// Handle answers a peer that pulls the configuration.
+func (w *Watch) Handle(request wire.PullConfig) wire.Message {
+	current := w.snapshot.Load()
+	page := wire.ConfigPage{Revision: uint64(current.Revision())}
+	for _, e := range current.Entries(conf.Revision(request.After)) {
 		page.Objects = append(page.Objects, wire.ConfigObject{
 			Kind:     e.Key.Kind,
 			Name:     e.Key.Name,
@@ -142,36 +143,37 @@
 	return page
 }
 
-// Heard takes what a peer says of its configuration.
+// Heard takes the revision and age of a peer's configuration from a heartbeat. It requests a pull if the revision is
+// newer; if it is the same, the snapshot was still current age ago.
 func (w *Watch) Heard(address string, revision uint64, age time.Duration) {
 	if revision > w.Revision() {
 		select {
-		case w.pulls <- address:
+		case w.pullAddresses <- address:
 		default:
 		}
 		return
 	}
 	if revision == w.Revision() {
-		w.confirm(time.Now().Add(-age))
+		w.confirmCurrent(time.Now().Add(-age))
 	}
 }
 
-// Revision returns the revision in force here.
+// Revision returns the revision of the snapshot.
 func (w *Watch) Revision() uint64 {
 	return uint64(w.snapshot.Load().Revision())
 }
 
-// Snapshot returns the snapshot in force, however old.
+// Snapshot returns the snapshot, however old.
 func (w *Watch) Snapshot() *conf.Snapshot {
 	return w.snapshot.Load()
 }
 
-// apply brings objects into force; the revision of the newest is the snapshot's.
+// apply applies objects to the snapshot, whose revision becomes that of the newest object.
 func (w *Watch) apply(objects []store.Object) {
-	entries, faults := decl.Entries(objects)
-	for _, fault := range faults {
-		w.rejected.Inc()
-		w.log.WithError(fault).Error("configuration object is not used")
+	entries, errs := decl.Entries(objects)
+	for _, err := range errs {
+		w.rejectedObjects.Inc()
+		w.log.WithError(err).Error("invalid configuration object ignored")
 	}
 	var newest conf.Revision
 	for _, o := range objects {
@@ -183,26 +185,26 @@
 		return
 	}
 	w.updates.Inc()
-	w.log.WithField("revision", after.Revision()).Info("configuration is in force")
+	w.log.WithField("revision", after.Revision()).Info("configuration applied")
 	w.roles.Push()
 }
 
-// confirm notes that the snapshot was the newest at a time.
-func (w *Watch) confirm(at time.Time) {
+// confirmCurrent notes that the snapshot was current at a time.
+func (w *Watch) confirmCurrent(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at.After(w.asOf) {
-		w.asOf = at
+	if at.After(w.currentAsOf) {
+		w.currentAsOf = at
 	}
 }
 
-// pull takes the configuration of a peer.
-func (w *Watch) pull(ctx context.Context, address string) {
+// pullFrom pulls and applies the configuration changes that a peer has.
+func (w *Watch) pullFrom(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	answer, err := w.net.Ask(ctx, address, wire.PullConfig{After: w.Revision()})
+	answer, err := w.peers.Ask(ctx, address, wire.PullConfig{After: w.Revision()})
 	if err != nil {
-		w.log.WithError(err).Debug("configuration cannot be pulled from a peer; another is next")
+		w.log.WithError(err).Debug("cannot pull configuration from a peer; waiting for a heartbeat with a newer revision")
 		return
 	}
 	page, ok := answer.(wire.ConfigPage)
@@ -216,49 +218,49 @@
 	w.apply(objects)
 }
 
-// pullLoop pulls from peers that have more.
+// pullLoop pulls from peers that have a newer revision.
 func (w *Watch) pullLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-w.pulls:
-			w.pull(ctx, address)
+		case address := <-w.pullAddresses:
+			w.pullFrom(ctx, address)
 		}
 	}
 }
 
-// watchLoop watches the platform while this instance is elected or steps in.
+// watchLoop watches the platform while this instance is elected or takes over from elected ones that seem cut off.
 func (w *Watch) watchLoop(ctx context.Context) {
-	pause := backoffBase
-	var sticky time.Time
+	backoff := minBackoff
+	var watchUntil time.Time
 	for ctx.Err() == nil {
-		elected := w.roles.Elected("watch", watchers)
-		if !elected && time.Now().After(sticky) && !w.roles.Elected("watch", stepIn(w.Age())) {
-			wait.For(ctx, idlePause/2+rand.N(idlePause))
+		elected := w.roles.Elected("watch", watcherCount)
+		if !elected && time.Now().After(watchUntil) && !w.roles.Elected("watch", watcherCountAt(w.Age())) {
+			wait.For(ctx, roleCheckInterval/2+rand.N(roleCheckInterval))
 			continue
 		}
-		if err := w.watch(ctx); err != nil {
-			wait.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, backoffMax)
+		if err := w.pollPlatform(ctx); err != nil {
+			wait.For(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		pause = backoffBase
-		if !elected && !time.Now().Before(sticky) {
-			sticky = time.Now().Add(stickyWatch)
+		backoff = minBackoff
+		if !elected && !time.Now().Before(watchUntil) {
+			watchUntil = time.Now().Add(minWatchTime)
 		}
 	}
 }
 
-// watch waits once for changes at the platform.
-func (w *Watch) watch(ctx context.Context) error {
-	page, err := w.store.Changes(ctx, conf.Kinds(), w.Revision(), watchWait)
+// pollPlatform makes one long poll for changes and applies them.
+func (w *Watch) pollPlatform(ctx context.Context) error {
+	page, err := w.store.Changes(ctx, conf.Kinds(), w.Revision(), longPollTimeout)
 	if err != nil {
 		return err
 	}
 	if len(page.Objects) > 0 {
 		w.apply(page.Objects)
 	}
-	w.confirm(time.Now())
+	w.confirmCurrent(time.Now()) // An empty page, too, shows that the platform answers and has nothing newer.
 	return nil
 }
