--- a/entry/internal/serve/doc.go
+++ b/entry/internal/serve/doc.go
@@ -1,3 +1,3 @@
-// Package serve is the last handler of the chain: it runs calls that passed
-// all filters, each kind by the part of the instance that is for it.
+// Package serve is the last handler of the filter chain: it runs the calls that
+// passed all filters, each kind in its way.
 package serve
--- a/entry/internal/serve/serve.go
+++ b/entry/internal/serve/serve.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	adoptBound    = 300 * time.Millisecond // adoptBound bounds the question to a former owner of a generation.
-	originGrace   = 50 * time.Millisecond  // originGrace is how much longer than for the keeper the origin is waited for.
-	addressCount  = 3                      // addressCount is the number of instances named in a look-up.
-	addressLife   = 5 * time.Second        // addressLife is how long callers may keep a look-up.
-	affinityWidth = 6                      // affinityWidth is the number of instances that serve one prompt prefix of an organisation.
+	adoptTimeout = 300 * time.Millisecond // adoptTimeout bounds asking a generation's origin and keeper to hand it over.
+	originGrace  = 50 * time.Millisecond  // originGrace is how long to wait for the origin once the keeper has answered.
+	lookupSize   = 3                      // lookupSize is the number of instances in the answer to a look-up.
+	lookupLife   = 5 * time.Second        // lookupLife is how long callers may cache that answer.
+	affinitySize = 6                      // affinitySize is the number of instances per organisation and model.
 )
 
-// Fleet gives the members.
+// Fleet gives access to the members.
 type Fleet interface {
 	// Self returns this instance.
 	Self() member.Member
-	// View returns the members.
+	// View returns the members as this instance knows them.
 	View() member.View
 }
 
-// Keeper gives up generations that run or are held here.
+// Keeper hands over generations that run here or of which a replica is held here.
 type Keeper interface {
-	// Adopt lets an instance go on with a generation.
+	// Adopt hands a generation over to an instance that continues it.
 	Adopt(a wire.Adopt) wire.Message
 }
 
@@ -48,13 +48,13 @@
 	relay  *relay.Relay
 	once   *once.Once
 	keeper Keeper
-	net    peer.Net
+	peers  peer.Net
 	sealer *token.Sealer
 }
 
-// New returns the last handler's parts put together.
-func New(fleet Fleet, r *relay.Relay, o *once.Once, keeper Keeper, net peer.Net, sealer *token.Sealer) *Server {
-	return &Server{fleet: fleet, relay: r, once: o, keeper: keeper, net: net, sealer: sealer}
+// New returns a server that runs generations and service calls with the given parts.
+func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Net, sealer *token.Sealer) *Server {
+	return &Server{fleet: fleet, relay: generations, once: calls, keeper: keeper, peers: peers, sealer: sealer}
 }
 
 // Handle runs a call.
@@ -73,42 +73,43 @@
 	}
 }
 
-// adopt asks the origin and the keeper of a generation for what they hold of it; the origin knows more, and is not waited for long once the keeper has answered.
-func (s *Server) adopt(ctx context.Context, c token.Cursor) wire.Log {
-	ctx, cancel := context.WithTimeout(ctx, adoptBound)
+// adoptLog takes a generation over from its origin and its keeper and returns its log. The origin has the more complete
+// one, but is waited for only originGrace longer than the keeper.
+func (s *Server) adoptLog(ctx context.Context, cursor token.Cursor) wire.Log {
+	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	question := wire.Adopt{Request: c.Request, By: s.fleet.Self().Name}
-	origin, keeper := make(chan wire.Adopted, 1), make(chan wire.Adopted, 1)
-	go func() { origin <- s.ask(ctx, c.Origin, question) }()
-	go func() { keeper <- s.ask(ctx, c.Keeper, question) }()
-	var kept wire.Adopted
+	request := wire.Adopt{Request: cursor.Request, By: s.fleet.Self().Name}
+	fromOrigin, fromKeeper := make(chan wire.Adopted, 1), make(chan wire.Adopted, 1)
+	go func() { fromOrigin <- s.askToAdopt(ctx, cursor.Origin, request) }()
+	go func() { fromKeeper <- s.askToAdopt(ctx, cursor.Keeper, request) }()
+	var keeperAnswer wire.Adopted
 	select {
-	case a := <-origin:
-		if holds(a) {
+	case a := <-fromOrigin:
+		if hasContent(a) {
 			return a.Log
 		}
-		kept = <-keeper
-	case kept = <-keeper:
-		if a, ok := within(ctx, origin, originGrace); ok && holds(a) {
+		keeperAnswer = <-fromKeeper
+	case keeperAnswer = <-fromKeeper:
+		if a, ok := receiveWithin(ctx, fromOrigin, originGrace); ok && hasContent(a) {
 			return a.Log
 		}
 	}
-	if holds(kept) {
-		return kept.Log
+	if hasContent(keeperAnswer) {
+		return keeperAnswer.Log
 	}
 	return wire.Log{}
 }
 
-// ask asks one member to give a generation up.
-func (s *Server) ask(ctx context.Context, name string, question wire.Adopt) wire.Adopted {
+// askToAdopt asks one member, maybe this one, to hand a generation over.
+func (s *Server) askToAdopt(ctx context.Context, name string, request wire.Adopt) wire.Adopted {
 	var answer wire.Message
 	if name == "" {
 		return wire.Adopted{}
 	}
 	if name == s.fleet.Self().Name {
-		answer = s.keeper.Adopt(question)
+		answer = s.keeper.Adopt(request)
 	} else if m, ok := s.fleet.View().Get(name); ok && m.State != member.Dead {
-		answer, _ = s.net.Ask(ctx, m.PeerAddress, question)
+		answer, _ = s.peers.Ask(ctx, m.PeerAddress, request)
 	}
 	adopted, _ := answer.(wire.Adopted)
 	return adopted
@@ -136,56 +137,57 @@
 		Max:     r.MaxTokens,
 		Origin:  s.fleet.Self().Name,
 	}
-	return s.relay.Run(ctx, relay.Job{Spec: spec, Policy: policy(c.Limit), Cursor: cursor, Held: c.Entered, Prompt: true}, c.Sink)
+	return s.relay.Run(ctx, relay.Job{Spec: spec, Policy: recoveryPolicy(c.Limit), Cursor: cursor, Held: c.Entered, Prompt: true}, c.Sink)
 }
 
-// invoke runs a call of a plain service.
+// invoke runs a call of a plain service; the caller may declare it non-idempotent even if the service does not.
 func (s *Server) invoke(ctx context.Context, c chain.Call, r chain.Invoke) chain.Answer {
 	service, _ := c.Config.Service(r.Service)
-	declared := Declared(service, r.Method, r.Path)
-	declared.NonIdempotent = declared.NonIdempotent || r.NonIdempotent
+	declaration := Declared(service, r.Method, r.Path)
+	declaration.NonIdempotent = declaration.NonIdempotent || r.NonIdempotent
 	return s.once.Run(ctx, once.Order{
 		Organisation: c.Organisation,
 		Service:      r.Service,
-		Declared:     declared,
+		Declared:     declaration,
 		Call:         engine.Call{Method: r.Method, Path: r.Path, Key: r.Key, ContentType: r.ContentType, Body: r.Body},
 	})
 }
 
-// Declared returns the declaration of a call; one that is not declared may be repeated only if its method may.
+// Declared returns a service's declaration of a call; a call that is not declared is idempotent if it is a GET or HEAD.
 func Declared(service conf.Service, method, path string) conf.ServiceCall {
 	path, _, _ = strings.Cut(path, "?")
-	declared, ok := service.Call(method, path)
+	declaration, ok := service.Call(method, path)
 	if ok {
-		return declared
+		return declaration
 	}
-	safe := method == "GET" || method == "HEAD"
-	return conf.ServiceCall{Method: method, Path: path, NonIdempotent: !safe}
+	isSafe := method == "GET" || method == "HEAD"
+	return conf.ServiceCall{Method: method, Path: path, NonIdempotent: !isSafe}
 }
 
-// lookup names the instances to use: the same few for an organisation's prompt prefix, spread over failure domains.
+// lookup returns the instances to use: the same few for an organisation, model and prompt prefix, so that caches are
+// reused, spread over failure domains.
 func (s *Server) lookup(r chain.Lookup, c chain.Call) chain.Answer {
 	view := s.fleet.View()
 	key := c.Organisation + "/" + r.Model
-	near := route.Spread(key, r.Domain, view.Open(), affinityWidth)
+	names := route.Spread(key, r.Domain, view.Open(), affinitySize)
 	if prefix := pool.Prefix(r.Prompt); prefix != "" {
-		near = route.Rank(prefix, near)
+		names = route.Rank(prefix, names)
 	}
-	answer := chain.Addresses{Organisation: c.Organisation, Life: addressLife}
-	for _, name := range near[:min(addressCount, len(near))] {
+	answer := chain.Addresses{Organisation: c.Organisation, Life: lookupLife}
+	for _, name := range names[:min(lookupSize, len(names))] {
 		m, _ := view.Get(name)
 		answer.List = append(answer.List, chain.Address{Instance: m.Name, Domain: m.Domain, Address: m.CallerAddress})
 	}
 	return answer
 }
 
-// resume goes on with a generation after an event id.
+// resume continues a generation after the event that the caller received last.
 func (s *Server) resume(ctx context.Context, c chain.Call, r chain.Resume) chain.Answer {
 	cursor, err := s.sealer.Open(c.Organisation, r.LastEventID)
 	if err != nil {
 		return chain.Refuse(deny.New(deny.KindMalformed, "%v", err))
 	}
-	log := s.adopt(ctx, cursor)
+	log := s.adoptLog(ctx, cursor)
 	if log.Prompt == "" {
 		log.Prompt = r.Prompt
 	}
@@ -202,39 +204,39 @@
 	}
 	cursor.Origin = s.fleet.Self().Name
 	cursor.Keeper = ""
-	known := max(0, min(len(log.Tokens), cursor.Offset-log.Offset))
+	knownTokens := max(0, min(len(log.Tokens), cursor.Offset-log.Offset))
 	job := relay.Job{
 		Spec:   spec,
-		Policy: policy(c.Limit),
+		Policy: recoveryPolicy(c.Limit),
 		Cursor: cursor,
 		Base:   log.Offset,
-		Texts:  log.Tokens[:known:known],
+		Texts:  log.Tokens[:knownTokens:knownTokens],
 		Prompt: spec.Prompt != "",
 	}
-	if known == 0 {
+	if knownTokens == 0 {
 		job.Base, job.Texts = 0, nil
 	}
 	return s.relay.Run(ctx, job, c.Sink)
 }
 
-// holds tells whether an answer brings anything of the generation.
-func holds(a wire.Adopted) bool {
+// hasContent tells whether an answer holds the prompt or any tokens.
+func hasContent(a wire.Adopted) bool {
 	return a.Found && (a.Log.Prompt != "" || len(a.Log.Tokens) > 0)
 }
 
-// within waits a little for an answer.
-func within(ctx context.Context, answers <-chan wire.Adopted, d time.Duration) (wire.Adopted, bool) {
+// receiveWithin receives an answer unless the timeout or the context ends first.
+func receiveWithin(ctx context.Context, answers <-chan wire.Adopted, timeout time.Duration) (wire.Adopted, bool) {
 	select {
 	case a := <-answers:
 		return a, true
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(timeout):
 	}
 	return wire.Adopted{}, false
 }
 
-// policy returns the recovery policy of a limit.
-func policy(l conf.Limit) flow.Policy {
+// recoveryPolicy returns the recovery policy of a limit; the default is flow.Latency.
+func recoveryPolicy(l conf.Limit) flow.Policy {
 	p, ok := flow.ParsePolicy(l.Recovery)
 	if !ok {
 		return flow.Latency{}
