--- a/entry/internal/node/doc.go
+++ b/entry/internal/node/doc.go
@@ -1,3 +1,3 @@
-// Package node puts the controllers and the chain of one entry instance
-// together over its borders, whatever carries them.
+// Package node assembles the controllers and the filter chain of one entry
+// instance, with the clients for its outgoing calls passed in.
 package node
--- a/entry/internal/node/node.go
+++ b/entry/internal/node/node.go
@@ -31,14 +31,14 @@
 // Settings configures a node.
 type Settings struct {
 	Self   member.Member
-	Secret []byte
-	Seeds  []string
-	Budget int           // Budget is the number of engines watched, shared evenly by the models.
-	Costly int           // Costly is the number of tokens from which a generation's text is copied.
-	Linger time.Duration // Linger is how long a generation goes on after its caller left.
+	Secret []byte        // Secret, shared by the fleet, protects event ids and issued keys.
+	Seeds  []string      // Seeds are peer addresses at which to join the fleet.
+	Budget int           // Budget is the number of engines to watch, divided evenly among the models.
+	Costly int           // Costly is the number of tokens from which a generation's prompt and tokens are replicated.
+	Linger time.Duration // Linger is how long a generation keeps running after its caller left.
 }
 
-// Borders are the ways out of a node.
+// Borders are the clients through which a node makes its outgoing calls.
 type Borders struct {
 	Platform store.Store
 	Engines  engine.Client
@@ -46,7 +46,7 @@
 	Peers    peer.Net
 }
 
-// Node is the inside of an entry instance.
+// Node is an entry instance without its servers.
 type Node struct {
 	Fleet   *fleet.Fleet
 	Issuer  *once.Issuer
@@ -61,7 +61,7 @@
 	done    chan struct{}
 }
 
-// New starts the controllers of a node.
+// New returns a node whose controllers are running.
 func New(s Settings, b Borders, logger log.Interface, set *metrics.Set) (*Node, error) {
 	sealer, err := token.NewSealer(s.Secret)
 	if err != nil {
@@ -83,8 +83,8 @@
 		return nil, fmt.Errorf("set up issued keys: %w", err)
 	}
 	n.once = once.New(s.Self.Name, platform, n.Pool, b.Services, n.Issuer, set)
-	runner := relay.New(b.Engines, n.Pool, n.keep, sealer, set)
-	server := serve.New(n.Fleet, runner, n.once, n.keep, b.Peers, sealer)
+	generations := relay.New(b.Engines, n.Pool, n.keep, sealer, set)
+	server := serve.New(n.Fleet, generations, n.once, n.keep, b.Peers, sealer)
 	n.handler = chain.Build(server.Handle,
 		filter.NewRecord(set, logger),
 		filter.NewIdentify(n.Watch),
@@ -95,7 +95,7 @@
 	return n, nil
 }
 
-// Close records the outcomes still open and stops the controllers, those that use others first.
+// Close waits until outcomes of service calls are recorded and stops the controllers, each before those that it uses.
 func (n *Node) Close() {
 	if n.once != nil {
 		n.once.Close()
@@ -110,17 +110,17 @@
 	close(n.done)
 }
 
-// Done is closed when the node has stopped.
+// Done returns a channel that is closed when the node has stopped.
 func (n *Node) Done() <-chan struct{} {
 	return n.done
 }
 
-// Handle answers a call by way of the chain.
+// Handle passes a call through the filter chain to its handler.
 func (n *Node) Handle(ctx context.Context, c chain.Call) chain.Answer {
 	return n.handler(ctx, c)
 }
 
-// HandlePeer answers a message of another instance.
+// HandlePeer answers a peer's message.
 func (n *Node) HandlePeer(ctx context.Context, m wire.Message) wire.Message {
 	switch m := m.(type) {
 	case wire.Gossip:
@@ -134,17 +134,17 @@
 	case wire.Borrow:
 		return n.lend.Handle(m)
 	case wire.Spend:
-		return n.spend(ctx, m)
+		return n.runIssuedCall(ctx, m)
 	default:
 		return wire.Failed{Reason: "not a question"}
 	}
 }
 
-// spend runs a call for a peer whose caller brought a key that was issued here.
-func (n *Node) spend(ctx context.Context, m wire.Spend) wire.Message {
-	service, ok := n.Watch.Snapshot().Service(m.Service)
+// runIssuedCall runs a call that a peer forwarded because its key was issued here.
+func (n *Node) runIssuedCall(ctx context.Context, request wire.Spend) wire.Message {
+	service, ok := n.Watch.Snapshot().Service(request.Service)
 	if !ok {
-		return wire.Failed{Reason: "unknown service " + strconv.Quote(m.Service)}
+		return wire.Failed{Reason: "unknown service " + strconv.Quote(request.Service)}
 	}
-	return n.Issuer.Handle(ctx, n.once, serve.Declared(service, m.Method, m.Path), m)
+	return n.Issuer.Handle(ctx, n.once, serve.Declared(service, request.Method, request.Path), request)
 }
