--- a/entry/internal/once/issuer.go
+++ b/entry/internal/once/issuer.go
@@ -33,7 +33,7 @@
 // errForgedKey is returned for a key that this fleet did not issue to the organisation.
 var errForgedKey = errors.New("key was not issued by this fleet")
 
-// Ticket is what an issued key contains in encrypted form.
+// Ticket is what an issued key contains, encrypted.
 type Ticket struct {
 	Instance string        `cbor:"1,keyasint"` // Instance is the name of the issuing instance.
 	Epoch    uint64        `cbor:"2,keyasint"` // Epoch is the incarnation with which the issuing process started.
@@ -69,19 +69,19 @@
 	answer   chain.Answer
 }
 
-// NewIssuer returns the issuer of a named instance, which changes its epoch with each start.
+// NewIssuer returns the issuer of a named instance, whose epoch changes with each start.
 func NewIssuer(instance string, epoch uint64, secret []byte, members Members, peers peer.Net) (*Issuer, error) {
 	key, err := hkdf.Key(sha256.New, secret, nil, "bramleywharf issued key", 32)
 	if err != nil {
-		return nil, fmt.Errorf("derive issuing key: %w", err)
+		return nil, fmt.Errorf("derive key: %w", err)
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return nil, fmt.Errorf("set up issuing cipher: %w", err)
+		return nil, fmt.Errorf("create cipher: %w", err)
 	}
 	aead, err := cipher.NewGCMWithRandomNonce(block)
 	if err != nil {
-		return nil, fmt.Errorf("set up issuing: %w", err)
+		return nil, fmt.Errorf("create GCM: %w", err)
 	}
 	return &Issuer{instance: instance, epoch: epoch, startedAt: time.Now(), aead: aead, members: members, peers: peers, spentKeys: make(map[uint64]*spentKey)}, nil
 }
@@ -112,7 +112,7 @@
 		Issued:   time.Since(i.startedAt),
 	})
 	if err != nil {
-		return "", fmt.Errorf("encode key: %w", err)
+		return "", fmt.Errorf("encode issued key: %w", err)
 	}
 	return issuedKeyPrefix + base64.RawURLEncoding.EncodeToString(i.aead.Seal(nil, nil, encoded, []byte(organisation))), nil
 }
@@ -156,7 +156,7 @@
 		return ticket, errForgedKey
 	}
 	if err := cbor.Unmarshal(encoded, &ticket); err != nil {
-		return ticket, fmt.Errorf("decode key: %w", err)
+		return ticket, fmt.Errorf("decode issued key: %w", err)
 	}
 	return ticket, nil
 }
