--- a/entry/internal/once/once.go
+++ b/entry/internal/once/once.go
@@ -60,7 +60,7 @@
 	lastSweep time.Time
 }
 
-// keyState is what this instance remembers of a key that callers chose.
+// keyState is what this instance remembers of a key that a caller chose.
 type keyState struct {
 	lock          chan struct{}  // lock is a mutex for requests with the key; a channel, so that waiting can time out.
 	unsentWriteID string         // unsentWriteID is the id of a claim's last write, if its call was certainly not sent.
