--- a/entry/internal/proof/abandon_test.go
+++ b/entry/internal/proof/abandon_test.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// longTokens is the length of a generation that runs far longer than any clean-up may take.
-const longTokens = 5000
+// longGenerationTokens keeps a generation running for longer than any cleanup may take.
+const longGenerationTokens = 5000
 
-// TestAbandonedWork checks that engines do not go on with work that nobody reads.
+// TestAbandonedWork checks that engines stop generations that nobody reads any more.
 func TestAbandonedWork(t *testing.T) {
 	cases := map[string]struct {
-		disturb fault
-		after   time.Duration // after is when the engines are looked at.
-		busy    int           // busy is the number of runs that may still be there.
+		inject     generationFault
+		checkAfter time.Duration // Delay from the fault to the check of the engines.
+		wantActive int           // Number of generations that engines should still run.
 	}{
-		"caller-gone": {
-			disturb: func(w *world, c *caller) { c.giveUp() },
-			after:   linger + 2*time.Second,
+		"caller-gives-up": {
+			inject:     func(w *world, c *caller) { c.giveUp() },
+			checkAfter: linger + 2*time.Second,
 		},
-		"instance-killed-and-caller-gone": {
-			disturb: func(w *world, c *caller) {
+		"instance-killed-and-caller-gives-up": {
+			inject: func(w *world, c *caller) {
 				c.giveUp()
-				w.set(c.serving(), dead)
+				w.setState(c.servingNode(), dead)
 			},
-			after: linger + 15*time.Second,
+			checkAfter: linger + 15*time.Second,
 		},
-		"race-lost": {
-			disturb: func(w *world, c *caller) { w.busyEngine().silence() },
-			after:   2 * time.Second,
-			busy:    1,
+		"engine-connections-silent": {
+			inject:     func(w *world, c *caller) { w.busiestEngine().silence() },
+			checkAfter: 2 * time.Second,
+			wantActive: 1, // No second attempt remains at another engine.
 		},
-		"caller-stays": {
-			disturb: func(w *world, c *caller) {},
-			after:   linger + 15*time.Second,
-			busy:    1,
+		"no-fault": {
+			inject:     func(w *world, c *caller) {},
+			checkAfter: linger + 15*time.Second,
+			wantActive: 1,
 		},
 	}
 	for name, test := range cases {
@@ -44,16 +44,16 @@
 				synctest.Test(t, func(t *testing.T) {
 					w := newWorld(t, 3, 5, recovery)
 					defer w.close()
-					c := newCaller(w, 1, longTokens)
+					c := newCaller(w, 1, longGenerationTokens)
 					go c.run()
 					time.Sleep(5 * time.Second)
-					if got := w.busyTotal(); got != 1 {
-						t.Fatalf("%d runs before the disturbance, want 1", got)
+					if got := w.totalActive(); got != 1 {
+						t.Fatalf("%d generations run before the fault, want 1", got)
 					}
-					test.disturb(w, c)
-					time.Sleep(test.after)
-					if got := w.busyTotal(); got != test.busy {
-						t.Errorf("%d runs %s after the disturbance, want %d", got, test.after, test.busy)
+					test.inject(w, c)
+					time.Sleep(test.checkAfter)
+					if got := w.totalActive(); got != test.wantActive {
+						t.Errorf("%d generations run %s after the fault, want %d", got, test.checkAfter, test.wantActive)
 					}
 				})
 			})
@@ -61,20 +61,20 @@
 	}
 }
 
-// TestHeartbeat checks that a caller whose engine is slow hears of its instance and stays with it.
+// TestHeartbeat checks that heartbeats keep a caller connected to its instance while the engine is slow.
 func TestHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 1, "thrift")
 		defer w.close()
-		e := w.busyEngine()
-		e.with(func() { e.slow = 500 })
+		e := w.busiestEngine()
+		e.update(func() { e.slowdown = 500 })
 		c := newCaller(w, 1, 3)
 		o := c.run()
-		if wrong := c.check(o); wrong != "" || !o.done {
-			t.Fatal("not answered", wrong)
+		if failure := c.check(o); failure != "" || !o.done {
+			t.Fatal("generation did not complete", failure)
 		}
 		if o.retries > 0 {
-			t.Errorf("caller gave its connection up %d times", o.retries)
+			t.Errorf("caller reconnected %d times", o.retries)
 		}
 	})
 }
--- a/entry/internal/proof/answer_test.go
+++ b/entry/internal/proof/answer_test.go
@@ -9,29 +9,29 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestOrderAnswers checks what a second call gets after a first one with a key.
+// TestOrderAnswers checks the answer to a second call of a service after a first one with an idempotency key.
 func TestOrderAnswers(t *testing.T) {
 	type invoke = chain.Invoke
 	first := invoke{Service: "orders", Method: "POST", Path: "/orders", Body: []byte("7")}
 	cases := map[string]struct {
-		issued   bool
-		at       string // at is the instance of the second call.
-		change   func(i invoke) invoke
-		kind     deny.Kind // kind is that of the refusal, or empty for the first answer.
-		executed deny.Executed
+		issued       bool                  // The key is issued by an instance instead of chosen by the caller.
+		node         string                // The instance that gets the second call.
+		change       func(i invoke) invoke // Changes the second call, or is nil.
+		wantKind     deny.Kind             // Kind of the refusal, or empty if the first answer is repeated.
+		wantExecuted deny.Executed
 	}{
-		"repeated-at-the-same":        {at: "node-0"},
-		"repeated-elsewhere":          {at: "node-1"},
-		"issued-repeated-at-the-same": {issued: true, at: "node-0"},
-		"issued-repeated-elsewhere":   {issued: true, at: "node-2"},
-		"other-body-at-the-same":      {at: "node-0", change: withBody, kind: deny.KindConflict, executed: deny.ExecutedNo},
-		"other-body-elsewhere":        {at: "node-1", change: withBody, kind: deny.KindConflict, executed: deny.ExecutedNo},
-		"issued-other-body-elsewhere": {issued: true, at: "node-1", change: withBody, kind: deny.KindConflict, executed: deny.ExecutedNo},
-		"no-key":                      {at: "node-0", change: func(i invoke) invoke { i.Key = ""; return i }, kind: deny.KindMalformed, executed: deny.ExecutedNo},
-		"forged-issued-key":           {at: "node-0", change: func(i invoke) invoke { i.Key = "bw1.AAAA"; return i }, kind: deny.KindMalformed, executed: deny.ExecutedNo},
-		"unknown-service":             {at: "node-0", change: func(i invoke) invoke { i.Service = "x"; return i }, kind: deny.KindUnknown, executed: deny.ExecutedNo},
-		"undeclared-post-needs-a-key": {at: "node-0", change: func(i invoke) invoke { i.Key, i.Path = "", "/x"; return i }, kind: deny.KindMalformed, executed: deny.ExecutedNo},
-		"marked-by-the-caller":        {at: "node-0", change: func(i invoke) invoke { i.Key, i.Method, i.NonIdempotent = "", "GET", true; return i }, kind: deny.KindMalformed, executed: deny.ExecutedNo},
+		"repeated-at-the-same-instance":        {node: "node-0"},
+		"repeated-elsewhere":                   {node: "node-1"},
+		"issued-repeated-at-the-same-instance": {issued: true, node: "node-0"},
+		"issued-repeated-elsewhere":            {issued: true, node: "node-2"},
+		"other-body-at-the-same-instance":      {node: "node-0", change: withOtherBody, wantKind: deny.KindConflict, wantExecuted: deny.ExecutedNo},
+		"other-body-elsewhere":                 {node: "node-1", change: withOtherBody, wantKind: deny.KindConflict, wantExecuted: deny.ExecutedNo},
+		"issued-other-body-elsewhere":          {issued: true, node: "node-1", change: withOtherBody, wantKind: deny.KindConflict, wantExecuted: deny.ExecutedNo},
+		"no-key":                               {node: "node-0", change: func(i invoke) invoke { i.Key = ""; return i }, wantKind: deny.KindMalformed, wantExecuted: deny.ExecutedNo},
+		"forged-issued-key":                    {node: "node-0", change: func(i invoke) invoke { i.Key = "bw1.AAAA"; return i }, wantKind: deny.KindMalformed, wantExecuted: deny.ExecutedNo},
+		"unknown-service":                      {node: "node-0", change: func(i invoke) invoke { i.Service = "x"; return i }, wantKind: deny.KindUnknown, wantExecuted: deny.ExecutedNo},
+		"undeclared-post-without-a-key":        {node: "node-0", change: func(i invoke) invoke { i.Key, i.Path = "", "/x"; return i }, wantKind: deny.KindMalformed, wantExecuted: deny.ExecutedNo},
+		"marked-non-idempotent-by-the-caller":  {node: "node-0", change: func(i invoke) invoke { i.Key, i.Method, i.NonIdempotent = "", "GET", true; return i }, wantKind: deny.KindMalformed, wantExecuted: deny.ExecutedNo},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -46,23 +46,23 @@
 					c.Assert(err, quicktest.IsNil)
 					request.Key = key
 				}
-				call := func(at string, r invoke) chain.Answer {
-					return w.nodes[at].Handle(w.life, chain.Call{ID: "x", Credential: "key", Request: r})
+				call := func(node string, r invoke) chain.Answer {
+					return w.nodes[node].Handle(w.runCtx, chain.Call{ID: "x", Credential: "key", Request: r})
 				}
-				answer := call("node-0", request)
-				c.Assert(answer, quicktest.Satisfies, func(a chain.Answer) bool { _, ok := a.(chain.Whole); return ok })
+				firstAnswer := call("node-0", request)
+				c.Assert(firstAnswer, quicktest.Satisfies, func(a chain.Answer) bool { _, ok := a.(chain.Whole); return ok })
 				second := request
 				if test.change != nil {
 					second = test.change(second)
 				}
-				got := call(test.at, second)
-				if test.kind == "" {
-					c.Assert(got, quicktest.DeepEquals, answer)
+				got := call(test.node, second)
+				if test.wantKind == "" {
+					c.Assert(got, quicktest.DeepEquals, firstAnswer)
 				} else {
 					refused, ok := got.(chain.Refused)
 					c.Assert(ok, quicktest.IsTrue)
-					c.Assert(refused.Refusal.Kind, quicktest.Equals, test.kind)
-					c.Assert(refused.Refusal.Executed, quicktest.Equals, test.executed)
+					c.Assert(refused.Refusal.Kind, quicktest.Equals, test.wantKind)
+					c.Assert(refused.Refusal.Executed, quicktest.Equals, test.wantExecuted)
 				}
 				c.Assert(w.executions(request.Key), quicktest.Equals, 1)
 			})
@@ -70,8 +70,8 @@
 	}
 }
 
-// withBody returns a call with another body.
-func withBody(i chain.Invoke) chain.Invoke {
+// withOtherBody returns the call with a body that differs from the first.
+func withOtherBody(i chain.Invoke) chain.Invoke {
 	i.Body = []byte("8")
 	return i
 }
--- a/entry/internal/proof/budget_test.go
+++ b/entry/internal/proof/budget_test.go
@@ -9,35 +9,35 @@
 	"bramleywharf.example/core/store"
 )
 
-// The fleet's budget at the size to design for: half of what the platform takes.
+// The budget of platform calls at the fleet size that the system is designed for: half of what the platform accepts.
 const (
-	fleetNodes    = 410
-	readsBudget   = 1000.0 // readsBudget is reads a second of the whole fleet, in its worst minute.
-	writesBudget  = 150.0
-	budgetNodes   = 40 // budgetNodes is the size of the fleet that is run.
-	outageLasts   = time.Minute
-	minuteSeconds = 60
+	designNodes    = 410
+	readsBudget    = 1000.0 // Reads per second of the whole fleet, averaged over its worst minute.
+	writesBudget   = 150.0  // Writes per second, likewise.
+	simulatedNodes = 40     // The counts are scaled from this fleet to designNodes.
+	outageDuration = time.Minute
+	minuteSeconds  = 60
 )
 
-// calls counts the platform's calls by second.
-type calls struct {
+// platformCalls counts calls to the platform by Unix second.
+type platformCalls struct {
 	reads  map[int64]int
 	writes map[int64]int
 }
 
-// count counts one call.
-func (w *world) count(write bool) {
+// countPlatformCall counts a call to the platform in the current second.
+func (w *world) countPlatformCall(isWrite bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	second := time.Now().Unix()
-	if write {
-		w.calls.writes[second]++
+	if isWrite {
+		w.platformCalls.writes[second]++
 	} else {
-		w.calls.reads[second]++
+		w.platformCalls.reads[second]++
 	}
 }
 
-// worstMinute returns the most calls in any minute, as a rate a second.
+// worstMinute returns the highest number of calls in any minute, as a rate per second.
 func worstMinute(bySecond map[int64]int) float64 {
 	worst := 0
 	for from := range bySecond {
@@ -50,28 +50,29 @@
 	return float64(worst) / minuteSeconds
 }
 
-// TestPlatformBudget checks that the calls of a fleet in its worst minute, scaled to the size to design for, stay within the budget.
+// TestPlatformBudget checks that a fleet's platform calls stay within the budget when all nodes act at once: at a
+// common start, and during and after an outage of the platform.
 func TestPlatformBudget(t *testing.T) {
 	cases := map[string]func(w *world){
 		"all-start-at-once": func(*world) { time.Sleep(2 * time.Minute) },
-		"outage-and-its-end": func(w *world) {
+		"platform-down-and-up-again": func(w *world) {
 			w.platform.SetFault(store.Down{})
-			time.Sleep(outageLasts)
+			time.Sleep(outageDuration)
 			w.platform.SetFault(store.Healthy{})
 			time.Sleep(time.Minute)
 		},
-		"frozen-and-its-end": func(w *world) {
-			w.set(platformName, frozen)
-			time.Sleep(outageLasts)
-			w.set(platformName, running)
+		"platform-frozen-and-back": func(w *world) {
+			w.setState(platformName, frozen)
+			time.Sleep(outageDuration)
+			w.setState(platformName, running)
 			time.Sleep(time.Minute)
 		},
-		"all-restart-in-an-outage": func(w *world) {
+		"all-restart-while-platform-down": func(w *world) {
 			w.platform.SetFault(store.Down{})
-			for i := range budgetNodes {
-				w.bounce(fmt.Sprintf("node-%d", i))
+			for i := range simulatedNodes {
+				w.restartNode(fmt.Sprintf("node-%d", i))
 			}
-			time.Sleep(outageLasts)
+			time.Sleep(outageDuration)
 			w.platform.SetFault(store.Healthy{})
 			time.Sleep(time.Minute)
 		},
@@ -80,16 +81,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, budgetNodes, 3, "latency")
+				w := newWorld(t, simulatedNodes, 3, "latency")
 				defer w.close()
 				run(w)
 				w.mu.Lock()
-				reads := worstMinute(w.calls.reads) / budgetNodes * fleetNodes
-				writes := worstMinute(w.calls.writes) / budgetNodes * fleetNodes
+				reads := worstMinute(w.platformCalls.reads) / simulatedNodes * designNodes
+				writes := worstMinute(w.platformCalls.writes) / simulatedNodes * designNodes
 				w.mu.Unlock()
 				t.Logf("BUDGET %s: %.0f reads/s of %.0f, %.1f writes/s of %.0f", name, reads, readsBudget, writes, writesBudget)
 				if reads > readsBudget || writes > writesBudget {
-					t.Errorf("%.0f reads/s and %.1f writes/s", reads, writes)
+					t.Errorf("over the budget: %.0f reads/s and %.1f writes/s", reads, writes)
 				}
 			})
 		})
--- a/entry/internal/proof/ceiling_test.go
+++ b/entry/internal/proof/ceiling_test.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	testCeiling    = 12
-	testCallers    = 30
-	ceilingTokens  = 40
-	ceilingRunsFor = 40 * time.Second
-	faultAt        = 10 * time.Second
+	testCeiling       = 12
+	ceilingCallers    = 30
+	ceilingTokens     = 40
+	ceilingDuration   = 40 * time.Second
+	ceilingFaultDelay = 10 * time.Second
 )
 
-// TestCeiling lets more callers start generations than the ceiling allows and watches how many run at once, over all engines and through faults.
+// TestCeiling checks that the running generations of an organisation, over all engines, stay within its ceiling while
+// more callers ask for them, and that callers are still served through faults.
 func TestCeiling(t *testing.T) {
 	cases := map[string]struct {
-		disturb func(w *world)
-		bound   int // bound is the most that may run at once.
-		least   int // least is the fewest generations that must be served in all.
+		inject    func(w *world)
+		maxAtOnce int // Most generations that may run at once.
+		minServed int // Fewest generations that must be served in total.
 	}{
-		"healthy":         {disturb: func(*world) {}, bound: testCeiling, least: 300},
-		"lender-leaves":   {disturb: func(w *world) { w.nodes[w.lender()].Fleet.Leave() }, bound: testCeiling, least: 300},
-		"lender-killed":   {disturb: func(w *world) { w.set(w.lender(), dead) }, bound: 2 * testCeiling, least: 100},
-		"lender-paused":   {disturb: func(w *world) { pause(w, w.lender()) }, bound: 2 * testCeiling, least: 100},
-		"borrower-killed": {disturb: func(w *world) { w.set(w.other(), dead) }, bound: 2 * testCeiling, least: 100},
-		"borrower-cut":    {disturb: func(w *world) { w.isolate(w.other(), "") }, bound: 2 * testCeiling, least: 100},
-		"lender-cut":      {disturb: func(w *world) { w.isolate(w.lender(), "") }, bound: 2 * testCeiling, least: 100},
-		"joined":          {disturb: func(w *world) { w.startNode(3) }, bound: testCeiling, least: 300},
-		"sheet-lowered":   {disturb: func(w *world) { w.pushSheet(5, "latency", testCeiling/2) }, bound: testCeiling, least: 100},
-		"platform-down":   {disturb: func(w *world) { pause(w, platformName) }, bound: testCeiling, least: 300},
+		"healthy":         {inject: func(*world) {}, maxAtOnce: testCeiling, minServed: 300},
+		"lender-leaves":   {inject: func(w *world) { w.nodes[w.lender()].Fleet.Leave() }, maxAtOnce: testCeiling, minServed: 300},
+		"lender-killed":   {inject: func(w *world) { w.setState(w.lender(), dead) }, maxAtOnce: 2 * testCeiling, minServed: 100},
+		"lender-paused":   {inject: func(w *world) { pause(w, w.lender()) }, maxAtOnce: 2 * testCeiling, minServed: 100},
+		"borrower-killed": {inject: func(w *world) { w.setState(w.borrower(), dead) }, maxAtOnce: 2 * testCeiling, minServed: 100},
+		"borrower-cut":    {inject: func(w *world) { w.isolate(w.borrower(), "") }, maxAtOnce: 2 * testCeiling, minServed: 100},
+		"lender-cut":      {inject: func(w *world) { w.isolate(w.lender(), "") }, maxAtOnce: 2 * testCeiling, minServed: 100},
+		"instance-joins":  {inject: func(w *world) { w.startNode(3) }, maxAtOnce: testCeiling, minServed: 300},
+		"sheet-lowered":   {inject: func(w *world) { w.pushSheet(5, "latency", testCeiling/2) }, maxAtOnce: testCeiling, minServed: 100},
+		"platform-frozen": {inject: func(w *world) { pause(w, platformName) }, maxAtOnce: testCeiling, minServed: 300},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,15 +45,15 @@
 				defer w.close()
 				w.pushSheet(2, "latency", testCeiling)
 				time.Sleep(5 * time.Second)
-				ctx, stop := context.WithTimeout(w.life, ceilingRunsFor)
+				ctx, stop := context.WithTimeout(w.runCtx, ceilingDuration)
 				defer stop()
 				var mu sync.Mutex
 				served, peak := 0, 0
-				for i := range testCallers {
+				for i := range ceilingCallers {
 					go func() {
 						for n := 0; ctx.Err() == nil; n++ {
 							c := newCaller(w, uint64(i*1000+n), ceilingTokens)
-							c.at = i
+							c.nodeIndex = i
 							if o := c.run(); o.done {
 								mu.Lock()
 								served++
@@ -61,36 +62,36 @@
 						}
 					}()
 				}
-				later(faultAt, func() { test.disturb(w) })
+				runAfter(ceilingFaultDelay, func() { test.inject(w) })
 				for ctx.Err() == nil {
-					peak = max(peak, w.busyTotal())
+					peak = max(peak, w.totalActive())
 					time.Sleep(10 * time.Millisecond)
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				t.Logf("PEAK %s: %d of %d at once, %d served", name, peak, testCeiling, served)
-				if peak > test.bound {
-					t.Errorf("%d generations at once, over %d", peak, test.bound)
+				if peak > test.maxAtOnce {
+					t.Errorf("%d generations at once, over %d", peak, test.maxAtOnce)
 				}
-				if served < test.least {
-					t.Errorf("%d generations served, under %d", served, test.least)
+				if served < test.minServed {
+					t.Errorf("%d generations served, under %d", served, test.minServed)
 				}
 			})
 		})
 	}
 }
 
-// lender returns the instance that lends the organisation's ceiling.
+// lender returns the instance that lends the slots of the organisation's ceiling to the others.
 func (w *world) lender() string {
-	return w.ranked()[0]
+	return w.lenderRanking()[0]
 }
 
-// other returns an instance that only borrows.
-func (w *world) other() string {
-	return w.ranked()[1]
+// borrower returns an instance that borrows slots and lends none.
+func (w *world) borrower() string {
+	return w.lenderRanking()[1]
 }
 
-// ranked returns the running instances in the order in which they lend.
-func (w *world) ranked() []string {
-	return route.Rank("lender/org", w.names())
+// lenderRanking returns the running instances in the order in which they become the lender.
+func (w *world) lenderRanking() []string {
+	return route.Rank("lender/org", w.runningNodes())
 }
--- a/entry/internal/proof/engine_test.go
+++ b/entry/internal/proof/engine_test.go
@@ -19,166 +19,168 @@
 	prefillDelay = 10 * time.Millisecond
 )
 
-// fakeEngine is a model engine whose tokens are a function of the request and the text before them.
+// fakeEngine is a model engine whose tokens depend only on the request, the text before them and its salt, so that a
+// test can check a stream that several engines produced.
 type fakeEngine struct {
 	w    *world
 	name string
 
-	mu          sync.Mutex
-	generations map[string]*fakeGeneration
-	salt        string
-	leaving     bool
-	started     time.Time // started is when the last generation began.
-	models      []string
-	fence       uint64
-	ignores     bool // ignores tells whether old fencing numbers are taken.
-	slow        int
-	refusing    bool
-	silenced    int // silenced counts how often all open connections went silent.
-	decoded     int
-	prefilled   int
-	changed     chan struct{}
+	mu              sync.Mutex
+	generations     map[string]*fakeGeneration // By id of the attempt.
+	salt            string                     // Makes the tokens differ from those of engines with another salt.
+	leaving         bool
+	lastStartTime   time.Time // When the last generation was started.
+	models          []string
+	highestFence    uint64 // Highest fencing token seen.
+	ignoresFencing  bool   // Accept orders with an old fencing token.
+	slowdown        int    // Factor on the time between tokens.
+	refusesWork     bool   // Refuse new generations.
+	silenceCount    int    // How often all open connections were made silent.
+	decodedTokens   int
+	prefilledTokens int
+	changed         chan struct{} // Closed and replaced at each change.
 }
 
-// fakeGeneration is one run.
+// fakeGeneration is one attempt at a generation by an engine.
 type fakeGeneration struct {
-	forced  int
-	tokens  []string
-	ended   string
-	stopped bool
+	forcedCount int      // Number of tokens that the attempt was given as its beginning.
+	tokens      []string // Tokens after the forced ones.
+	endReason   string   // Empty until the generation ends.
+	stopped     bool     // Cancelled, or lost because the engine died.
 }
 
 func newFakeEngine(w *world, name string) *fakeEngine {
-	return &fakeEngine{w: w, name: name, generations: make(map[string]*fakeGeneration), slow: 1, changed: make(chan struct{})}
+	return &fakeEngine{w: w, name: name, generations: make(map[string]*fakeGeneration), slowdown: 1, changed: make(chan struct{})}
 }
 
-// tokenText returns the token at an offset after a text; engines that drift have a salt each.
-func tokenText(s flow.Spec, before uint64, offset int, salt string) (string, uint64) {
+// nextToken returns the token at an offset and the hash of the text up to it; prefixHash is that of the text before.
+func nextToken(spec flow.Spec, prefixHash uint64, offset int, salt string) (string, uint64) {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s/%s/%s/%d/%s/%d/%d/%s", s.Model, s.Adapter, s.Version, s.Seed, s.Prompt, before, offset, salt)
+	_, _ = fmt.Fprintf(h, "%s/%s/%s/%d/%s/%d/%d/%s", spec.Model, spec.Adapter, spec.Version, spec.Seed, spec.Prompt, prefixHash, offset, salt)
 	text := fmt.Sprintf("%d-%d ", offset, h.Sum64()%1000)
-	return text, extend(before, text)
+	return text, extendHash(prefixHash, text)
 }
 
-// extend adds a token to the hash of a text.
-func extend(before uint64, text string) uint64 {
+// extendHash returns the hash of a text that is extended by a token.
+func extendHash(prefixHash uint64, text string) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%d/%s", before, text)
+	_, _ = fmt.Fprintf(h, "%d/%s", prefixHash, text)
 	return h.Sum64()
 }
 
-// firstStray returns the first token that no engine could have sent after the text before it, or -1.
-func (w *world) firstStray(s flow.Spec, tokens []string) int {
-	var before uint64
+// firstUnexpected returns the offset of the first token that no engine produces after the text before it, or -1.
+func (w *world) firstUnexpected(spec flow.Spec, tokens []string) int {
+	var prefixHash uint64
 	for offset, got := range tokens {
 		possible := false
 		for _, e := range w.engines {
-			text, _ := tokenText(s, before, offset, e.salt)
+			text, _ := nextToken(spec, prefixHash, offset, e.salt)
 			possible = possible || text == got
 		}
 		if !possible {
 			return offset
 		}
-		before = extend(before, got)
+		prefixHash = extendHash(prefixHash, got)
 	}
 	return -1
 }
 
-// forget loses all generations, as a death does.
-func (e *fakeEngine) forget() {
+// dropGenerations forgets all generations, as the death of the engine does.
+func (e *fakeEngine) dropGenerations() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, g := range e.generations {
 		g.stopped = true
 	}
 	e.generations = make(map[string]*fakeGeneration)
-	e.wake()
+	e.notifyChange()
 }
 
-// busy returns the number of generations that still run.
-func (e *fakeEngine) busy() int {
+// activeCount returns the number of running generations.
+func (e *fakeEngine) activeCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := 0
+	count := 0
 	for _, g := range e.generations {
-		if g.ended == "" && !g.stopped {
-			n++
+		if g.endReason == "" && !g.stopped {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// silence makes every open connection silent for good.
+// silence makes every open connection send nothing more without closing; new connections work.
 func (e *fakeEngine) silence() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.silenced++
-	e.wake()
+	e.silenceCount++
+	e.notifyChange()
 }
 
-// with changes the engine's behaviour.
-func (e *fakeEngine) with(change func()) {
+// update changes the engine's fields under its lock.
+func (e *fakeEngine) update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// wake tells readers that something changed; the lock is held.
-func (e *fakeEngine) wake() {
+// notifyChange wakes the readers of all streams; e.mu must be held.
+func (e *fakeEngine) notifyChange() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// run produces the tokens of a generation.
-func (e *fakeEngine) run(g *fakeGeneration, r engine.Request) {
-	var before uint64
+// generate produces the tokens of a generation until it ends, is stopped or the engine dies.
+func (e *fakeEngine) generate(g *fakeGeneration, r engine.Request) {
+	var prefixHash uint64
 	for _, text := range r.Forced {
-		before = extend(before, text)
+		prefixHash = extendHash(prefixHash, text)
 	}
 	time.Sleep(prefillDelay)
 	for offset := len(r.Forced); offset < r.Spec.MaxTokens; offset++ {
 		e.mu.Lock()
-		slow := e.slow
+		slowdown := e.slowdown
 		e.mu.Unlock()
-		time.Sleep(tokenGap * time.Duration(slow))
-		if e.w.pass(e.w.life, e.name, e.name) != nil {
+		time.Sleep(tokenGap * time.Duration(slowdown))
+		// A message to itself waits while the engine is frozen and fails once it is dead.
+		if e.w.transmit(e.w.runCtx, e.name, e.name) != nil {
 			return
 		}
 		var text string
-		text, before = tokenText(r.Spec, before, offset, e.salt)
+		text, prefixHash = nextToken(r.Spec, prefixHash, offset, e.salt)
 		e.mu.Lock()
 		if g.stopped {
 			e.mu.Unlock()
 			return
 		}
 		g.tokens = append(g.tokens, text)
-		e.decoded++
-		e.wake()
+		e.decodedTokens++
+		e.notifyChange()
 		e.mu.Unlock()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	g.ended = engine.ReasonLength
-	e.wake()
+	g.endReason = engine.ReasonLength
+	e.notifyChange()
 }
 
-// fakeEngines is a node's way to the engines.
+// fakeEngines is the engine.Client of one node.
 type fakeEngines struct {
-	w    *world
-	self string
+	w        *world
+	nodeName string
 }
 
-// to returns an engine by address after a message has reached it.
-func (f *fakeEngines) to(ctx context.Context, address string) (*fakeEngine, error) {
+// reach sends a message to the engine at an address and returns the engine.
+func (f *fakeEngines) reach(ctx context.Context, address string) (*fakeEngine, error) {
 	name := strings.TrimSuffix(address, ":1")
-	if err := f.w.pass(ctx, f.self, name); err != nil {
+	if err := f.w.transmit(ctx, f.nodeName, name); err != nil {
 		return nil, fmt.Errorf("%w: %w", engine.ErrSevered, err)
 	}
 	return f.w.engines[name], nil
 }
 
 func (f *fakeEngines) Attach(ctx context.Context, address, id string, from int, emit func(engine.Event)) error {
-	e, err := f.to(ctx, address)
+	e, err := f.reach(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -188,77 +190,77 @@
 	switch {
 	case !ok:
 		return engine.ErrForgotten
-	case from < g.forced:
+	case from < g.forcedCount:
 		return engine.ErrRange
 	}
 	return f.stream(ctx, e, g, from, emit)
 }
 
 func (f *fakeEngines) CacheEvents(ctx context.Context, address string, _ int) ([]engine.CacheEvent, error) {
-	_, err := f.to(ctx, address)
+	_, err := f.reach(ctx, address)
 	return nil, err
 }
 
 func (f *fakeEngines) Cancel(ctx context.Context, address, id string) error {
-	e, err := f.to(ctx, address)
+	e, err := f.reach(ctx, address)
 	if err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if g, ok := e.generations[id]; ok && g.ended == "" {
+	if g, ok := e.generations[id]; ok && g.endReason == "" {
 		g.stopped = true
-		g.ended = "cancelled"
-		e.wake()
+		g.endReason = "cancelled"
+		e.notifyChange()
 	}
 	return nil
 }
 
 func (f *fakeEngines) Load(ctx context.Context, address string) (engine.Load, error) {
-	e, err := f.to(ctx, address)
+	e, err := f.reach(ctx, address)
 	if err != nil {
 		return engine.Load{}, err
 	}
 	e.mu.Lock()
 	models, leaving := e.models, e.leaving
 	e.mu.Unlock()
-	return engine.Load{Running: e.busy(), Slots: 16, Models: models, Leaving: leaving}, nil
+	return engine.Load{Running: e.activeCount(), Slots: 16, Models: models, Leaving: leaving}, nil
 }
 
 func (f *fakeEngines) Order(ctx context.Context, address string, o engine.Order) error {
-	f.w.fire("order")
+	f.w.runHooks("order")
 	e := f.w.engines[strings.TrimSuffix(address, ":1")]
 	f.w.mu.Lock()
-	caught := f.w.catchOrder
-	if caught {
-		f.w.catchOrder = false
-		f.w.lateOrder = func() error { return e.obey(o) }
+	held := f.w.holdNextOrder
+	if held {
+		f.w.holdNextOrder = false
+		f.w.deliverHeldOrder = func() error { return e.applyOrder(o) }
 	}
 	f.w.mu.Unlock()
-	if caught {
+	if held {
 		<-ctx.Done()
 		return engine.ErrSevered
 	}
-	if _, err := f.to(ctx, address); err != nil {
+	if _, err := f.reach(ctx, address); err != nil {
 		return err
 	}
-	return e.obey(o)
+	return e.applyOrder(o)
 }
 
-// obey takes an order unless its fencing number is old and the engine checks it.
-func (e *fakeEngine) obey(o engine.Order) error {
+// applyOrder loads the models of an order, unless its fencing token is old and the engine checks it.
+func (e *fakeEngine) applyOrder(o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Fence < e.fence && !e.ignores {
+	if o.Fence < e.highestFence && !e.ignoresFencing {
 		return engine.ErrFenced
 	}
-	e.fence = max(o.Fence, e.fence)
+	e.highestFence = max(o.Fence, e.highestFence)
 	e.models = o.Models
 	return nil
 }
 
 func (f *fakeEngines) Probe(ctx context.Context, address, id string) error {
-	e, err := f.to(ctx, address)
+	e, err := f.reach(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -271,69 +273,69 @@
 }
 
 func (f *fakeEngines) Start(ctx context.Context, address string, r engine.Request, emit func(engine.Event)) error {
-	e, err := f.to(ctx, address)
+	e, err := f.reach(ctx, address)
 	if err != nil {
 		return err
 	}
 	e.mu.Lock()
-	if e.refusing {
+	if e.refusesWork {
 		e.mu.Unlock()
 		return engine.ErrRefused
 	}
 	g, ok := e.generations[r.ID]
 	if !ok {
-		g = &fakeGeneration{forced: len(r.Forced)}
+		g = &fakeGeneration{forcedCount: len(r.Forced)}
 		e.generations[r.ID] = g
-		e.started = time.Now()
-		e.prefilled += len(r.Forced) + len(strings.Fields(r.Spec.Prompt))
-		go e.run(g, r)
+		e.lastStartTime = time.Now()
+		e.prefilledTokens += len(r.Forced) + len(strings.Fields(r.Spec.Prompt))
+		go e.generate(g, r)
 	}
 	e.mu.Unlock()
 	return f.stream(ctx, e, g, len(r.Forced), emit)
 }
 
-// stream emits a generation's tokens as long as the connection lives.
+// stream emits a generation's tokens from an offset until the generation or the connection ends.
 func (f *fakeEngines) stream(ctx context.Context, e *fakeEngine, g *fakeGeneration, offset int, emit func(engine.Event)) error {
 	e.mu.Lock()
-	opened := e.silenced
+	silenceCountAtOpen := e.silenceCount
 	e.mu.Unlock()
 	for {
 		e.mu.Lock()
-		var news []string
-		if at := offset - g.forced; at < len(g.tokens) {
-			news = g.tokens[at:]
+		var pending []string
+		if index := offset - g.forcedCount; index < len(g.tokens) {
+			pending = g.tokens[index:]
 		}
-		ended, silent, changed := g.ended, e.silenced != opened, e.changed
+		endReason, silent, changed := g.endReason, e.silenceCount != silenceCountAtOpen, e.changed
 		e.mu.Unlock()
 		if silent {
 			<-ctx.Done()
 			return engine.ErrSevered
 		}
-		if err := f.w.pass(ctx, e.name, f.self); err != nil {
+		if err := f.w.transmit(ctx, e.name, f.nodeName); err != nil {
 			return fmt.Errorf("%w: %w", engine.ErrSevered, err)
 		}
-		for _, text := range news {
+		for _, text := range pending {
 			emit(engine.Token{Token: flow.Token{Offset: offset, Text: text}})
 			offset++
 		}
-		if ended != "" {
-			emit(engine.Ended{Reason: ended})
+		if endReason != "" {
+			emit(engine.Ended{Reason: endReason})
 			return nil
 		}
 		f.w.mu.Lock()
-		moved := f.w.changed
+		worldChanged := f.w.changed
 		f.w.mu.Unlock()
 		select {
 		case <-changed:
-		case <-moved:
+		case <-worldChanged:
 		case <-ctx.Done():
 			return engine.ErrSevered
 		}
 	}
 }
 
-// hashOf returns the hash by which a key is declared.
-func hashOf(key string) string {
+// keyHash returns the hash by which an organisation declares an API key.
+func keyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
--- a/entry/internal/proof/generation_test.go
+++ b/entry/internal/proof/generation_test.go
@@ -11,145 +11,147 @@
 )
 
 const (
-	matrixTokens = 120
-	healAfter    = 9 * time.Second // healAfter is when what pauses comes back, after others have taken over.
-	settleAfter  = 40 * time.Second
-	resumeBound  = 3 * time.Second        // resumeBound is the users' bound on the time from a loss to the next token.
-	againAfter   = 300 * time.Millisecond // againAfter is the least time between a fault and its repetition.
-	again        = "again"                // again is the step of a fault's repetition, in the midst of the recovery.
+	matrixTokens  = 120
+	faultDuration = 9 * time.Second        // Time until a temporary fault ends; others have taken over by then.
+	settleTime    = 40 * time.Second       // Time after the answer in which engines must stop.
+	resumeBound   = 3 * time.Second        // Required bound on the time from a loss to the next token.
+	repeatDelay   = 300 * time.Millisecond // Least time from a fault to its repetition.
+	repeatStep    = "again"                // Step of a repeated fault: during the recovery from the first.
 )
 
-// fault does something to the path of a generation; what it does may heal later.
-type fault func(w *world, c *caller)
+// generationFault injects a fault into a generation; some faults end by themselves after faultDuration.
+type generationFault func(w *world, c *caller)
 
-// later runs a change after a time.
-func later(d time.Duration, change func()) {
+// runAfter runs f in the background after a delay.
+func runAfter(delay time.Duration, f func()) {
 	go func() {
-		time.Sleep(d)
-		change()
+		time.Sleep(delay)
+		f()
 	}()
 }
 
-// busyEngine returns the engine that runs most.
-func (w *world) busyEngine() *fakeEngine {
+// busiestEngine returns the engine that runs the most generations.
+func (w *world) busiestEngine() *fakeEngine {
 	var names []string
 	for name := range w.engines {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	best := w.engines[names[0]]
+	busiest := w.engines[names[0]]
 	for _, name := range names {
-		if w.engines[name].busy() > best.busy() {
-			best = w.engines[name]
+		if w.engines[name].activeCount() > busiest.activeCount() {
+			busiest = w.engines[name]
 		}
 	}
-	return best
+	return busiest
 }
 
-// generationFaults holds every fault of "What fails" that can meet a generation.
-func generationFaults() map[string]fault {
-	return map[string]fault{
-		"engine-killed":    func(w *world, _ *caller) { w.set(w.busyEngine().name, dead) },
-		"engine-restarted": func(w *world, _ *caller) { restart(w, w.busyEngine().name, time.Second) },
-		"engine-paused":    func(w *world, _ *caller) { pause(w, w.busyEngine().name) },
+// generationFaults returns the faults that are injected into generations, by name.
+func generationFaults() map[string]generationFault {
+	return map[string]generationFault{
+		"engine-killed":    func(w *world, _ *caller) { w.setState(w.busiestEngine().name, dead) },
+		"engine-restarted": func(w *world, _ *caller) { restart(w, w.busiestEngine().name, time.Second) },
+		"engine-paused":    func(w *world, _ *caller) { pause(w, w.busiestEngine().name) },
 		"engine-slow": func(w *world, _ *caller) {
-			e := w.busyEngine()
-			e.with(func() { e.slow = 30 })
-			later(healAfter, func() { e.with(func() { e.slow = 1 }) })
+			e := w.busiestEngine()
+			e.update(func() { e.slowdown = 30 })
+			runAfter(faultDuration, func() { e.update(func() { e.slowdown = 1 }) })
 		},
 		"engines-refuse": func(w *world, _ *caller) {
 			for _, e := range w.engines {
-				e.with(func() { e.refusing = true })
-				later(time.Second, func() { e.with(func() { e.refusing = false }) })
+				e.update(func() { e.refusesWork = true })
+				runAfter(time.Second, func() { e.update(func() { e.refusesWork = false }) })
 			}
 		},
-		"engine-connections-silent": func(w *world, _ *caller) { w.busyEngine().silence() },
+		"engine-connections-silent": func(w *world, _ *caller) { w.busiestEngine().silence() },
 		"caller-connection-silent":  func(_ *world, c *caller) { c.silence() },
-		"caller-leaves":             func(_ *world, c *caller) { c.leave() },
-		"instance-killed":           func(w *world, c *caller) { w.set(c.serving(), dead) },
-		"instance-paused":           func(w *world, c *caller) { pause(w, c.serving()) },
-		"instance-leaves":           func(w *world, c *caller) { w.node(c.serving()).Fleet.Leave() },
-		"instance-cut-from-engine":  func(w *world, c *caller) { sever(w, c.serving(), w.busyEngine().name) },
+		"caller-disconnects":        func(_ *world, c *caller) { c.disconnect() },
+		"instance-killed":           func(w *world, c *caller) { w.setState(c.servingNode(), dead) },
+		"instance-paused":           func(w *world, c *caller) { pause(w, c.servingNode()) },
+		"instance-leaves":           func(w *world, c *caller) { w.node(c.servingNode()).Fleet.Leave() },
+		"instance-cut-from-engine":  func(w *world, c *caller) { interruptLink(w, c.servingNode(), w.busiestEngine().name) },
 		"instance-cut-from-peers": func(w *world, c *caller) {
-			for _, name := range w.names() {
-				if name != c.serving() {
-					sever(w, c.serving(), name)
+			for _, name := range w.runningNodes() {
+				if name != c.servingNode() {
+					interruptLink(w, c.servingNode(), name)
 				}
 			}
 		},
-		"instance-cut-from-platform": func(w *world, c *caller) { sever(w, c.serving(), platformName) },
-		"platform-down":              func(w *world, _ *caller) { pause(w, platformName) },
+		"instance-cut-from-platform": func(w *world, c *caller) { interruptLink(w, c.servingNode(), platformName) },
+		"platform-frozen":            func(w *world, _ *caller) { pause(w, platformName) },
 		"engine-and-instance-killed": func(w *world, c *caller) {
-			w.set(w.busyEngine().name, dead)
-			w.set(c.serving(), dead)
+			w.setState(w.busiestEngine().name, dead)
+			w.setState(c.servingNode(), dead)
 		},
 	}
 }
 
-// generationSteps holds the steps of a generation's path as the number of tokens delivered.
+// generationSteps returns the steps of a generation at which faults are injected, as numbers of tokens delivered.
 func generationSteps() map[string]int {
 	return map[string]int{"accepted": 0, "first-token": 1, "middle": 60, "near-end": matrixTokens - 2}
 }
 
-// pause freezes a process and wakes it later.
+// pause freezes a process for faultDuration.
 func pause(w *world, name string) {
 	w.mu.Lock()
-	w.paused = true
+	w.everPaused = true
 	w.mu.Unlock()
-	w.set(name, frozen)
-	later(healAfter, func() {
+	w.setState(name, frozen)
+	runAfter(faultDuration, func() {
 		w.mu.Lock()
-		still := w.conditions[name] == frozen
+		isFrozen := w.processStates[name] == frozen
 		w.mu.Unlock()
-		if still {
-			w.set(name, running)
+		if isFrozen {
+			w.setState(name, running)
 		}
 	})
 }
 
-// restart kills a process and starts it empty after a time.
-func restart(w *world, name string, after time.Duration) {
-	w.set(name, dead)
-	later(after, func() { w.set(name, running) })
+// restart kills an engine or a service and starts it without its state after a delay.
+func restart(w *world, name string, delay time.Duration) {
+	w.setState(name, dead)
+	runAfter(delay, func() { w.setState(name, running) })
 }
 
-// sever cuts a link and mends it later.
-func sever(w *world, a, b string) {
-	w.cut(a, b, true)
-	later(healAfter, func() { w.cut(a, b, false) })
+// interruptLink cuts a link for faultDuration.
+func interruptLink(w *world, a, b string) {
+	w.setLinkCut(a, b, true)
+	runAfter(faultDuration, func() { w.setLinkCut(a, b, false) })
 }
 
-// generationCell runs one cell and returns what is wrong, and whether the request was refused.
-func generationCell(t *testing.T, recovery string, drift bool, faults cell) (wrong string, refused bool, gap time.Duration) {
+// runGenerationCell runs one cell. It returns the failure found or an empty string, whether the generation did not
+// complete, and the longest time between two tokens. Divergent engines continue the same text differently.
+func runGenerationCell(t *testing.T, recovery string, divergent bool, faults cell) (failure string, refused bool, gap time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 5, recovery)
 		defer w.close()
 		for _, e := range w.engines {
-			if drift {
+			if divergent {
 				e.salt = e.name
 			}
 		}
 		c := newCaller(w, 7, matrixTokens)
-		steps, table := generationSteps(), generationFaults()
-		fired := make([]bool, len(faults))
-		var firedAt time.Time
+		steps, injectors := generationSteps(), generationFaults()
+		injected := make([]bool, len(faults))
+		var injectedAt time.Time
 		var mu sync.Mutex
 		inject := func(count int) {
 			mu.Lock()
 			defer mu.Unlock()
 			for i, f := range faults {
 				due := count >= steps[f.step]
-				if f.step == again {
-					due = fired[0] && time.Since(firedAt) > againAfter && count > 0
+				if f.step == repeatStep {
+					due = injected[0] && time.Since(injectedAt) > repeatDelay && count > 0
 				}
-				if fired[i] || !due {
+				if injected[i] || !due {
 					continue
 				}
-				fired[i], firedAt = true, time.Now()
-				table[f.fault](w, c)
+				injected[i], injectedAt = true, time.Now()
+				injectors[f.fault](w, c)
 			}
 		}
-		c.each = inject
+		c.onToken = inject
+		// Inject the faults of step "accepted" before the first token.
 		go func() {
 			time.Sleep(2 * time.Millisecond)
 			c.mu.Lock()
@@ -162,54 +164,57 @@
 		o := c.run()
 		refused = !o.done
 		gap = c.longestGap()
-		wrong = c.check(o)
-		time.Sleep(settleAfter)
-		if wrong == "" && w.busyTotal() > 0 {
-			wrong = "an engine still runs abandoned work"
+		failure = c.check(o)
+		time.Sleep(settleTime)
+		if failure == "" && w.totalActive() > 0 {
+			failure = "an engine still runs a generation that nobody reads"
 		}
 	})
-	return wrong, refused, gap
+	return failure, refused, gap
 }
 
-// busyTotal returns the generations that run at engines that are not dead.
-func (w *world) busyTotal() int {
+// totalActive returns the number of generations running at all engines.
+func (w *world) totalActive() int {
 	sum := 0
 	for _, e := range w.engines {
-		sum += e.busy()
+		sum += e.activeCount()
 	}
 	return sum
 }
 
-// generationCells returns every single fault, every pair, and every fault twice.
+// generationCells returns the cells of the generation matrix.
 func generationCells() (singles, pairs, twice []cell) {
-	return cells(slices.Sorted(maps.Keys(generationFaults())), slices.Sorted(maps.Keys(generationSteps())))
+	return allCells(slices.Sorted(maps.Keys(generationFaults())), slices.Sorted(maps.Keys(generationSteps())))
 }
 
-// runGeneration runs cells under a recovery policy, each as a test of its own.
-func runGeneration(t *testing.T, kind, recovery string, drift bool, cells []cell) {
+// runGenerationCells runs each cell as a subtest under a recovery policy.
+func runGenerationCells(t *testing.T, kind, recovery string, divergent bool, cells []cell) {
 	for _, c := range cells {
-		t.Run(fmt.Sprintf("%s/%s/drift=%t/%s", kind, recovery, drift, c), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s/%s/divergent=%t/%s", kind, recovery, divergent, c), func(t *testing.T) {
 			t.Parallel()
-			wrong, refused, gap := generationCell(t, recovery, drift, c)
-			if wrong == "" && kind == "single" && refused && !drift {
-				wrong = "refused after a single fault"
+			failure, refused, gap := runGenerationCell(t, recovery, divergent, c)
+			if failure == "" && kind == "single" && refused && !divergent {
+				failure = "not completed after a single fault"
 			}
-			// A baseline that regenerates cannot go on where engines drift, until the first engine is back.
-			bounded := !refused && !(drift && recovery == "restart")
-			if wrong == "" && kind == "single" && gap > resumeBound && bounded {
-				wrong = "output went on only after " + gap.String()
+			// The restart policy regenerates from the prompt, so that among divergent engines it can only continue
+			// once the first engine is back.
+			gapBounded := !refused && !(divergent && recovery == "restart")
+			if failure == "" && kind == "single" && gap > resumeBound && gapBounded {
+				failure = "the next token came only after " + gap.String()
 			}
-			note(t, "generation "+kind, c, wrong, refused)
+			recordResult(t, "generation "+kind, c, failure, refused)
 		})
 	}
 }
 
+// TestGenerationMatrix checks under each cell of faults that the tokens of a generation are exact, that it completes or
+// is refused, and after a single fault that it completes in time.
 func TestGenerationMatrix(t *testing.T) {
 	singles, pairs, twice := generationCells()
-	for name, cells := range map[string][]cell{"single": singles, "twice": twice, "pair": sample(pairs)} {
+	for kind, cells := range map[string][]cell{"single": singles, "twice": twice, "pair": selectCells(pairs)} {
 		for _, recovery := range []string{"latency", "thrift", "restart"} {
-			for _, drift := range []bool{false, true} {
-				runGeneration(t, name, recovery, drift, cells)
+			for _, divergent := range []bool{false, true} {
+				runGenerationCells(t, kind, recovery, divergent, cells)
 			}
 		}
 	}
--- a/entry/internal/proof/keeper_test.go
+++ b/entry/internal/proof/keeper_test.go
@@ -5,19 +5,20 @@
 	"testing/synctest"
 )
 
-// TestKeeper checks what a caller gets that comes back with its event id alone, when only the keeper still has its prompt.
+// TestKeeper checks the answer to a caller that resumes with its event id alone, without the prompt. When its instance
+// is lost, the generation goes on from the replica at a peer, its keeper, or at the engine if that still runs it.
 func TestKeeper(t *testing.T) {
 	cases := map[string]struct {
-		fault string
-		at    int // at is the number of tokens at which the fault comes; copies begin at 16.
-		whole bool
+		fault       string
+		afterTokens int // Number of tokens after which the fault is injected; replication starts at 16.
+		wantDone    bool
 	}{
-		"instance-lost":                  {fault: "instance-killed", at: 60, whole: true},
-		"instance-lost-early":            {fault: "instance-killed", at: 3, whole: true},
-		"instance-paused":                {fault: "instance-paused", at: 60, whole: true},
-		"caller-moves":                   {fault: "caller-leaves", at: 3, whole: true},
-		"engine-and-instance-lost":       {fault: "engine-and-instance-killed", at: 60, whole: true},
-		"engine-and-instance-lost-early": {fault: "engine-and-instance-killed", at: 3},
+		"instance-lost":                  {fault: "instance-killed", afterTokens: 60, wantDone: true},
+		"instance-lost-early":            {fault: "instance-killed", afterTokens: 3, wantDone: true},
+		"instance-paused":                {fault: "instance-paused", afterTokens: 60, wantDone: true},
+		"caller-disconnects":             {fault: "caller-disconnects", afterTokens: 3, wantDone: true},
+		"engine-and-instance-lost":       {fault: "engine-and-instance-killed", afterTokens: 60, wantDone: true},
+		"engine-and-instance-lost-early": {fault: "engine-and-instance-killed", afterTokens: 3},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -25,20 +26,20 @@
 				w := newWorld(t, 3, 5, "latency")
 				defer w.close()
 				c := newCaller(w, 3, matrixTokens)
-				c.forgetful = true
+				c.omitsPrompt = true
 				done := false
-				c.each = func(count int) {
-					if count == test.at && !done {
+				c.onToken = func(count int) {
+					if count == test.afterTokens && !done {
 						done = true
 						generationFaults()[test.fault](w, c)
 					}
 				}
 				o := c.run()
-				if wrong := c.check(o); wrong != "" {
-					t.Error(wrong)
+				if failure := c.check(o); failure != "" {
+					t.Error(failure)
 				}
-				if o.done != test.whole {
-					t.Errorf("whole answer: %t, want %t (%v)", o.done, test.whole, o.refusal)
+				if o.done != test.wantDone {
+					t.Errorf("generation completed: %t, want %t (%v)", o.done, test.wantDone, o.refusal)
 				}
 			})
 		})
--- a/entry/internal/proof/leave_test.go
+++ b/entry/internal/proof/leave_test.go
@@ -8,10 +8,11 @@
 	"bramleywharf.example/core/conf"
 )
 
-// leaveBound is the longest that a leaving target may get new work.
-const leaveBound = 3 * time.Second
+// drainBound is the longest time for which a draining target may get new generations.
+const drainBound = 3 * time.Second
 
-// TestLeavingTarget checks that a target which is leaving gets no new work soon, whichever way that is learnt, and that its running work ends by itself.
+// TestLeavingTarget checks that a draining target soon gets no new generations, whether its declaration or its own load
+// report says that it is leaving, and that its running generations complete.
 func TestLeavingTarget(t *testing.T) {
 	cases := map[string]func(w *world){
 		"by-declaration": func(w *world) {
@@ -19,14 +20,14 @@
 		},
 		"by-its-own-report": func(w *world) {
 			e := w.engines["engine-0"]
-			e.with(func() { e.leaving = true })
+			e.update(func() { e.leaving = true })
 		},
-		"by-declaration-while-the-platform-goes": func(w *world) {
+		"by-declaration-just-before-the-platform-freezes": func(w *world) {
 			w.declare(conf.KindTarget, "engine-0", `{"address":"engine-0:1","failure-domain":"fd-0","models":["m"],"slots":16,"leaving":true}`)
-			later(50*time.Millisecond, func() { pause(w, platformName) })
+			runAfter(50*time.Millisecond, func() { pause(w, platformName) })
 		},
 	}
-	for name, leave := range cases {
+	for name, startDraining := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 3, 2, "thrift")
@@ -34,37 +35,37 @@
 				e := w.engines["engine-0"]
 				for i := range 10 {
 					go func() {
-						for n := 0; w.life.Err() == nil; n++ {
+						for n := 0; w.runCtx.Err() == nil; n++ {
 							c := newCaller(w, uint64(i*1000+n), 60)
-							c.at = i
-							if o := c.run(); w.life.Err() == nil && !o.done {
-								t.Error("a generation was cut", c.check(o))
+							c.nodeIndex = i
+							if o := c.run(); w.runCtx.Err() == nil && !o.done {
+								t.Error("a generation did not complete:", c.check(o))
 							}
 						}
 					}()
 				}
 				time.Sleep(5 * time.Second)
 				if e.lastStart().IsZero() {
-					t.Fatal("the target got no work before it left")
+					t.Fatal("the target got no generation before it began to drain")
 				}
-				leave(w)
-				left := time.Now()
+				startDraining(w)
+				drainingSince := time.Now()
 				time.Sleep(12 * time.Second)
-				if late := e.lastStart().Sub(left); late > leaveBound {
-					t.Errorf("new work came %s after the target began to leave", late)
+				if delay := e.lastStart().Sub(drainingSince); delay > drainBound {
+					t.Errorf("a new generation came %s after the target began to drain", delay)
 				}
-				if e.busy() > 0 {
-					t.Error("work is left at the target")
+				if e.activeCount() > 0 {
+					t.Error("the target still runs generations")
 				}
-				t.Logf("last new work %s after", e.lastStart().Sub(left))
+				t.Logf("last new generation %s after the drain began", e.lastStart().Sub(drainingSince))
 			})
 		})
 	}
 }
 
-// lastStart returns when the engine got new work last.
+// lastStart returns when the engine got its last new generation.
 func (e *fakeEngine) lastStart() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.started
+	return e.lastStartTime
 }
--- a/entry/internal/proof/matrix_test.go
+++ b/entry/internal/proof/matrix_test.go
@@ -11,21 +11,22 @@
 	"testing"
 )
 
-var full = flag.Bool("matrix-full", false, "run every cell of the matrix and print its table")
+var fullMatrix = flag.Bool("matrix-full", false, "run every cell of the matrix and print its table")
 
-// sampleStride is the distance of the pairs that run without -matrix-full; it shares no factor with the numbers of faults and steps.
+// sampleStride is the distance of the pairs that run without -matrix-full. It shares no factor with the numbers of
+// faults and steps, so that the sample does not keep hitting the same ones.
 const sampleStride = 61
 
-// injection is a fault at a step.
+// injection is a fault and the step at which it is injected.
 type injection struct {
 	fault string
 	step  string
 }
 
-// cell is one cell of the matrix.
+// cell is one cell of a fault matrix: the faults injected into one run.
 type cell []injection
 
-// String names the cell.
+// String returns the name of the cell.
 func (c cell) String() string {
 	var parts []string
 	for _, i := range c {
@@ -34,100 +35,100 @@
 	return strings.Join(parts, "+")
 }
 
-// cells returns every fault at every step singly, in pairs of different faults, and repeated.
-func cells(faults, steps []string) (singles, pairs, twice []cell) {
-	var all []injection
-	for _, f := range faults {
+// allCells returns the cells of each fault at each step: alone, in pairs of different faults, and repeated.
+func allCells(faults, steps []string) (singles, pairs, twice []cell) {
+	var injections []injection
+	for _, faultName := range faults {
 		for _, step := range steps {
-			all = append(all, injection{fault: f, step: step})
+			injections = append(injections, injection{fault: faultName, step: step})
 		}
 	}
-	for i, a := range all {
-		singles = append(singles, cell{a})
-		twice = append(twice, cell{a, {fault: a.fault, step: again}})
-		for _, b := range all[i+1:] {
-			if a.fault != b.fault {
-				pairs = append(pairs, cell{a, b})
+	for i, first := range injections {
+		singles = append(singles, cell{first})
+		twice = append(twice, cell{first, {fault: first.fault, step: repeatStep}})
+		for _, second := range injections[i+1:] {
+			if first.fault != second.fault {
+				pairs = append(pairs, cell{first, second})
 			}
 		}
 	}
 	return singles, pairs, twice
 }
 
-// tally counts the results of one fault at one step.
+// tally counts the results of the cells that inject one fault at one step; passed includes refused.
 type tally struct {
 	passed, failed, refused int
 }
 
-// board collects the results of all cells.
-var board = struct {
+// results collects the results of all cells; tallies are by matrix, fault and step.
+var results = struct {
 	sync.Mutex
-	paths           map[string]map[string]map[string]*tally
+	tallies         map[string]map[string]map[string]*tally
 	passed, skipped int
 	failures        []string
-}{paths: make(map[string]map[string]map[string]*tally)}
+}{tallies: make(map[string]map[string]map[string]*tally)}
 
-// note records the result of a cell and fails its test when something is wrong.
-func note(t *testing.T, path string, c cell, wrong string, refused bool) {
-	board.Lock()
-	defer board.Unlock()
+// recordResult records the result of a cell and fails its test if failure is not empty.
+func recordResult(t *testing.T, matrix string, c cell, failure string, refused bool) {
+	results.Lock()
+	defer results.Unlock()
 	for _, i := range c {
-		if board.paths[path] == nil {
-			board.paths[path] = make(map[string]map[string]*tally)
+		if results.tallies[matrix] == nil {
+			results.tallies[matrix] = make(map[string]map[string]*tally)
 		}
-		if board.paths[path][i.fault] == nil {
-			board.paths[path][i.fault] = make(map[string]*tally)
+		if results.tallies[matrix][i.fault] == nil {
+			results.tallies[matrix][i.fault] = make(map[string]*tally)
 		}
-		if board.paths[path][i.fault][i.step] == nil {
-			board.paths[path][i.fault][i.step] = &tally{}
+		if results.tallies[matrix][i.fault][i.step] == nil {
+			results.tallies[matrix][i.fault][i.step] = &tally{}
 		}
-		s := board.paths[path][i.fault][i.step]
+		counts := results.tallies[matrix][i.fault][i.step]
 		switch {
-		case wrong != "":
-			s.failed++
+		case failure != "":
+			counts.failed++
 		case refused:
-			s.refused++
-			s.passed++
+			counts.refused++
+			counts.passed++
 		default:
-			s.passed++
+			counts.passed++
 		}
 	}
-	if wrong == "" {
-		board.passed++
+	if failure == "" {
+		results.passed++
 		return
 	}
-	board.failures = append(board.failures, t.Name()+": "+wrong)
-	t.Error(wrong)
+	results.failures = append(results.failures, t.Name()+": "+failure)
+	t.Error(failure)
 }
 
-// sample returns all cells in a full run and a fixed choice of them otherwise.
-func sample(cells []cell) []cell {
-	if *full {
+// selectCells returns all cells with -matrix-full and a fixed sample of them otherwise.
+func selectCells(cells []cell) []cell {
+	if *fullMatrix {
 		return cells
 	}
-	var chosen []cell
+	var selected []cell
 	for i := 0; i < len(cells); i += sampleStride {
-		chosen = append(chosen, cells[i])
+		selected = append(selected, cells[i])
 	}
-	board.Lock()
-	board.skipped += len(cells) - len(chosen)
-	board.Unlock()
-	return chosen
+	results.Lock()
+	results.skipped += len(cells) - len(selected)
+	results.Unlock()
+	return selected
 }
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code := m.Run()
-	if *full {
-		printBoard()
+	if *fullMatrix {
+		printResults()
 	}
 	os.Exit(code)
 }
 
-// printBoard prints a table for each path: rows are faults, columns are steps.
-func printBoard() {
-	for _, path := range slices.Sorted(maps.Keys(board.paths)) {
-		faults := board.paths[path]
+// printResults prints a table for each matrix with faults as rows and steps as columns, then the failures.
+func printResults() {
+	for _, matrix := range slices.Sorted(maps.Keys(results.tallies)) {
+		faults := results.tallies[matrix]
 		columns := make(map[string]bool)
 		for _, steps := range faults {
 			for step := range steps {
@@ -135,7 +136,7 @@
 			}
 		}
 		steps := slices.Sorted(maps.Keys(columns))
-		fmt.Printf("\n%s: passed/failed, of the passed (refused truthfully)\n%-30s", path, "fault")
+		fmt.Printf("\n%s: passed/failed (refused), the refused being among the passed\n%-30s", matrix, "fault")
 		for _, step := range steps {
 			fmt.Printf("%-18s", step)
 		}
@@ -144,17 +145,17 @@
 			fmt.Printf("%-30s", f)
 			for _, step := range steps {
 				text := "not run"
-				if s := faults[f][step]; s != nil {
-					text = fmt.Sprintf("%d/%d (%d)", s.passed, s.failed, s.refused)
+				if counts := faults[f][step]; counts != nil {
+					text = fmt.Sprintf("%d/%d (%d)", counts.passed, counts.failed, counts.refused)
 				}
 				fmt.Printf("%-18s", text)
 			}
 			fmt.Println()
 		}
 	}
-	slices.Sort(board.failures)
-	for _, f := range board.failures {
+	slices.Sort(results.failures)
+	for _, f := range results.failures {
 		fmt.Println("FAILED", f)
 	}
-	fmt.Printf("\n%d passed, %d failed, %d skipped\n", board.passed, len(board.failures), board.skipped)
+	fmt.Printf("\n%d passed, %d failed, %d skipped\n", results.passed, len(results.failures), results.skipped)
 }
--- a/entry/internal/proof/order_test.go
+++ b/entry/internal/proof/order_test.go
@@ -16,65 +16,65 @@
 )
 
 const (
-	orderBound    = 3 * time.Second        // orderBound is the longest that a caller of a plain service waits.
-	orderMargin   = 100 * time.Millisecond // orderMargin is the time of the links to the caller and back.
-	orderPatience = 4 * time.Second        // orderPatience is when a caller takes its instance for dead.
-	orderTries    = 4
-	orderSettle   = 60 * time.Second
+	orderAnswerBound = 3 * time.Second        // Longest time that the caller of a service waits.
+	orderLinkMargin  = 100 * time.Millisecond // Allowance for the links from the caller and back.
+	orderTimeout     = 4 * time.Second        // Time after which a caller takes its instance for dead.
+	orderAttempts    = 4
+	orderSettleTime  = 60 * time.Second // Time for late executions after the last attempt.
 )
 
-// orderFault does something to the path of an order.
-type orderFault func(w *world, o *ordering)
+// orderFault injects a fault into an order; some faults end by themselves after faultDuration.
+type orderFault func(w *world, o *orderCaller)
 
-// ordering is one caller with one key, which it sends again until it is answered.
-type ordering struct {
+// orderCaller sends one order, which is a non-idempotent call of the service "orders", and retries it under one key.
+type orderCaller struct {
 	w   *world
 	key string
 
-	mu    sync.Mutex
-	at    string // at is the instance that has the order now.
-	tries []try
+	mu       sync.Mutex
+	node     string // The instance that got the last attempt.
+	attempts []attempt
 }
 
-// try is one sending of the order.
-type try struct {
-	answered bool
-	at       time.Time // at is when the answer came.
-	answer   chain.Answer
-	took     time.Duration
-	alive    bool // alive tells whether the instance ran all the time.
+// attempt is the result of sending the order once.
+type attempt struct {
+	answered    bool
+	endedAt     time.Time // When the answer came or the caller stopped waiting.
+	answer      chain.Answer
+	duration    time.Duration
+	nodeRunning bool // Whether the instance was running at the end of the attempt.
 }
 
-// orderFaults holds every fault of "What fails" that can meet an order.
+// orderFaults returns the faults that are injected into orders, by name.
 func orderFaults() map[string]orderFault {
 	return map[string]orderFault{
-		"services-killed": func(w *world, _ *ordering) {
+		"services-killed": func(w *world, _ *orderCaller) {
 			for name := range w.services {
-				restart(w, name, healAfter)
+				restart(w, name, faultDuration)
 			}
 		},
-		"service-killed":  func(w *world, _ *ordering) { w.set("service-0", dead) },
-		"service-silent":  func(w *world, _ *ordering) { w.silenceServices(true) },
-		"services-paused": func(w *world, _ *ordering) { pause(w, "service-0"); pause(w, "service-1") },
-		"instance-killed": func(w *world, o *ordering) { w.set(o.serving(), dead) },
-		"instance-paused": func(w *world, o *ordering) { pause(w, o.serving()) },
-		"instance-cut-from-platform": func(w *world, o *ordering) {
-			sever(w, o.serving(), platformName)
+		"service-killed":  func(w *world, _ *orderCaller) { w.setState("service-0", dead) },
+		"service-silent":  func(w *world, _ *orderCaller) { w.silenceServices(true) },
+		"services-paused": func(w *world, _ *orderCaller) { pause(w, "service-0"); pause(w, "service-1") },
+		"instance-killed": func(w *world, o *orderCaller) { w.setState(o.servingNode(), dead) },
+		"instance-paused": func(w *world, o *orderCaller) { pause(w, o.servingNode()) },
+		"instance-cut-from-platform": func(w *world, o *orderCaller) {
+			interruptLink(w, o.servingNode(), platformName)
 		},
-		"instance-cut-from-services": func(w *world, o *ordering) {
-			sever(w, o.serving(), "service-0")
-			sever(w, o.serving(), "service-1")
+		"instance-cut-from-services": func(w *world, o *orderCaller) {
+			interruptLink(w, o.servingNode(), "service-0")
+			interruptLink(w, o.servingNode(), "service-1")
 		},
-		"platform-down":          func(w *world, _ *ordering) { w.platformFault(store.Down{}) },
-		"platform-frozen":        func(w *world, _ *ordering) { pause(w, platformName) },
-		"platform-slow":          func(w *world, _ *ordering) { w.platformFault(store.Slow{By: 1500 * time.Millisecond}) },
-		"platform-loses-answers": func(w *world, _ *ordering) { w.platformFault(store.LoseAnswers{}) },
-		"platform-loses-writes":  func(w *world, _ *ordering) { w.platformFault(store.LoseWrites{}) },
-		"sent-twice":             func(_ *world, o *ordering) { go o.send(1) },
+		"platform-down":          func(w *world, _ *orderCaller) { w.failPlatform(store.Down{}) },
+		"platform-frozen":        func(w *world, _ *orderCaller) { pause(w, platformName) },
+		"platform-slow":          func(w *world, _ *orderCaller) { w.failPlatform(store.Slow{By: 1500 * time.Millisecond}) },
+		"platform-loses-answers": func(w *world, _ *orderCaller) { w.failPlatform(store.LoseAnswers{}) },
+		"platform-loses-writes":  func(w *world, _ *orderCaller) { w.failPlatform(store.LoseWrites{}) },
+		"sent-twice":             func(_ *world, o *orderCaller) { go o.send(1) },
 	}
 }
 
-// orderSteps holds the steps of an order's path and the points that they are reached at.
+// orderSteps returns the steps of an order with the hook point that marks each, or an empty string for the first.
 func orderSteps() map[string]string {
 	return map[string]string{
 		"accepted":  "",
@@ -86,33 +86,33 @@
 	}
 }
 
-// platformFault makes the platform fail for a while.
-func (w *world) platformFault(f store.Fault) {
-	set := func(f store.Fault) {
+// failPlatform makes the platform show a fault for faultDuration.
+func (w *world) failPlatform(f store.Fault) {
+	setFault := func(f store.Fault) {
 		w.platform.SetFault(f)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		_, w.refusing = f.(store.Down)
+		_, w.platformRefuses = f.(store.Down)
 	}
-	set(f)
-	later(healAfter, func() { set(store.Healthy{}) })
+	setFault(f)
+	runAfter(faultDuration, func() { setFault(store.Healthy{}) })
 }
 
-// silenceServices makes services execute calls without answering, or answer again.
+// silenceServices makes services execute calls without an answer for faultDuration, or answer again.
 func (w *world) silenceServices(silent bool) {
 	for _, s := range w.services {
 		s.mu.Lock()
-		s.silenced = silent
+		s.isSilent = silent
 		s.mu.Unlock()
 	}
 	if silent {
-		later(healAfter, func() { w.silenceServices(false) })
+		runAfter(faultDuration, func() { w.silenceServices(false) })
 	}
 }
 
-// run sends the order until it has a certain answer or the tries are used up.
-func (o *ordering) run(retry bool) {
-	for i := range orderTries {
+// run sends the order until it succeeds or the attempts are used up; without retry, until there is any answer.
+func (o *orderCaller) run(retry bool) {
+	for i := range orderAttempts {
 		a := o.send(i)
 		if whole, ok := a.(chain.Whole); ok && whole.Status == 200 {
 			return
@@ -124,106 +124,107 @@
 	}
 }
 
-// send sends the order once to an instance that runs and returns its answer, or nil.
-func (o *ordering) send(i int) chain.Answer {
-	names := o.w.names()
-	if len(names) == 0 {
+// send sends the order once, to the i-th running instance, and returns the answer or nil.
+func (o *orderCaller) send(i int) chain.Answer {
+	runningNodes := o.w.runningNodes()
+	if len(runningNodes) == 0 {
 		return nil
 	}
-	name := names[i%len(names)]
+	name := runningNodes[i%len(runningNodes)]
 	o.mu.Lock()
-	o.at = name
+	o.node = name
 	o.mu.Unlock()
 	o.w.mu.Lock()
 	n := o.w.nodes[name]
 	o.w.mu.Unlock()
 	answers := make(chan chain.Answer, 1)
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(o.w.life, orderPatience)
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(o.w.runCtx, orderTimeout)
 	defer cancel()
 	go func() {
-		if o.w.pass(ctx, "caller", name) != nil {
+		if o.w.transmit(ctx, "caller", name) != nil {
 			return
 		}
 		a := n.Handle(ctx, chain.Call{ID: "o", Credential: "key", Request: chain.Invoke{
 			Service: "orders", Method: "POST", Path: "/orders", Key: o.key, Body: []byte("7"),
 		}})
-		if o.w.pass(o.w.life, name, "caller") == nil {
+		if o.w.transmit(o.w.runCtx, name, "caller") == nil {
 			answers <- a
 		}
 	}()
-	t := try{}
+	sent := attempt{}
 	select {
-	case t.answer = <-answers:
-		t.answered = true
-	case <-time.After(orderPatience):
+	case sent.answer = <-answers:
+		sent.answered = true
+	case <-time.After(orderTimeout):
 	}
-	t.at = time.Now()
-	t.took = time.Since(began)
+	sent.endedAt = time.Now()
+	sent.duration = time.Since(start)
 	o.w.mu.Lock()
-	t.alive = o.w.conditions[name] == running
+	sent.nodeRunning = o.w.processStates[name] == running
 	o.w.mu.Unlock()
 	o.mu.Lock()
-	o.tries = append(o.tries, t)
+	o.attempts = append(o.attempts, sent)
 	o.mu.Unlock()
-	return t.answer
+	return sent.answer
 }
 
-// serving returns the instance that has the order.
-func (o *ordering) serving() string {
+// servingNode returns the instance that got the last attempt.
+func (o *orderCaller) servingNode() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.at
+	return o.node
 }
 
-// check returns what is wrong with the answers, given how often the order ran in the end.
-func (o *ordering) check(executions int) string {
+// check returns how the answers or the number of executions violate what callers are promised, or an empty string.
+func (o *orderCaller) check(executions int) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	allNo := true
-	for i, t := range o.tries {
-		switch a := t.answer.(type) {
+	allNotExecuted := true
+	for i, sent := range o.attempts {
+		switch a := sent.answer.(type) {
 		case chain.Whole:
-			allNo = false
+			allNotExecuted = false
 			if executions == 0 {
-				return fmt.Sprintf("try %d was answered %d and the order never ran", i, a.Status)
+				return fmt.Sprintf("attempt %d was answered with status %d, but the order was never executed", i, a.Status)
 			}
 		case chain.Refused:
-			if a.Refusal.Executed == deny.ExecutedNo && o.w.ranBefore(o.key, t.at) {
-				return fmt.Sprintf("try %d was told that the order was not run after it ran", i)
+			if a.Refusal.Executed == deny.ExecutedNo && o.w.executedBefore(o.key, sent.endedAt) {
+				return fmt.Sprintf("attempt %d was refused as not executed after the order was executed", i)
 			}
-			allNo = allNo && a.Refusal.Executed == deny.ExecutedNo
+			allNotExecuted = allNotExecuted && a.Refusal.Executed == deny.ExecutedNo
 		default:
-			allNo = false
-			if t.alive && !o.everPaused() {
-				return fmt.Sprintf("try %d got no answer from a running instance", i)
+			allNotExecuted = false
+			if sent.nodeRunning && !o.mayHavePaused() {
+				return fmt.Sprintf("attempt %d got no answer from a running instance", i)
 			}
 		}
-		if t.answered && t.alive && t.took > orderBound+orderMargin {
-			return fmt.Sprintf("try %d waited %s", i, t.took)
+		if sent.answered && sent.nodeRunning && sent.duration > orderAnswerBound+orderLinkMargin {
+			return fmt.Sprintf("attempt %d waited %s for its answer", i, sent.duration)
 		}
 	}
 	switch {
 	case executions > 1:
-		return fmt.Sprintf("the order ran %d times", executions)
-	case allNo && executions > 0:
-		return "every refusal said not run, and the order ran"
+		return fmt.Sprintf("the order was executed %d times", executions)
+	case allNotExecuted && executions > 0:
+		return "every attempt was refused as not executed, but the order was executed"
 	default:
 		return ""
 	}
 }
 
-// everPaused tells whether an instance may have been paused during a try.
-func (o *ordering) everPaused() bool {
-	return o.w.paused
+// mayHavePaused tells whether an instance may have been paused during an attempt.
+func (o *orderCaller) mayHavePaused() bool {
+	return o.w.everPaused
 }
 
-// orderCell runs one cell and returns what is wrong, and whether the caller never got the order's answer.
-func orderCell(t *testing.T, issued, retry bool, faults cell) (wrong string, refused bool) {
+// runOrderCell runs one cell. It returns the failure found or an empty string, and whether the caller never got the
+// service's answer. The key is issued by an instance or, if not issued, chosen by the caller.
+func runOrderCell(t *testing.T, issued, retry bool, faults cell) (failure string, refused bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 1, "latency")
 		defer w.close()
-		o := &ordering{w: w, key: "k"}
+		o := &orderCaller{w: w, key: "k"}
 		if issued {
 			key, err := w.nodes["node-0"].Issuer.Issue("org")
 			if err != nil {
@@ -231,45 +232,47 @@
 			}
 			o.key = key
 		}
-		steps, table := orderSteps(), orderFaults()
+		steps, injectors := orderSteps(), orderFaults()
 		for _, f := range faults {
-			inject := func() { table[f.fault](w, o) }
-			if f.step == again {
-				inject = func() { later(againAfter, func() { table[f.fault](w, o) }) }
+			inject := func() { injectors[f.fault](w, o) }
+			if f.step == repeatStep {
+				inject = func() { runAfter(repeatDelay, func() { injectors[f.fault](w, o) }) }
 				f.step = faults[0].step
 			}
 			if point := steps[f.step]; point != "" {
-				w.hook(point, inject)
+				w.addHook(point, inject)
 			} else {
-				later(linkDelay/2, inject)
+				runAfter(linkDelay/2, inject)
 			}
 		}
 		o.run(retry)
-		time.Sleep(orderSettle)
-		wrong = o.check(w.executions(o.key))
-		refused = !slices.ContainsFunc(o.tries, func(t try) bool {
+		time.Sleep(orderSettleTime)
+		failure = o.check(w.executions(o.key))
+		refused = !slices.ContainsFunc(o.attempts, func(t attempt) bool {
 			_, ok := t.answer.(chain.Whole)
 			return ok
 		})
 	})
-	return wrong, refused
+	return failure, refused
 }
 
-// orderCells returns every single fault, every pair, and every fault twice.
+// orderCells returns the cells of the order matrix.
 func orderCells() (singles, pairs, twice []cell) {
-	return cells(slices.Sorted(maps.Keys(orderFaults())), slices.Sorted(maps.Keys(orderSteps())))
+	return allCells(slices.Sorted(maps.Keys(orderFaults())), slices.Sorted(maps.Keys(orderSteps())))
 }
 
+// TestOrderMatrix checks that an order is executed at most once and answered truthfully and in time under each cell of
+// faults.
 func TestOrderMatrix(t *testing.T) {
 	singles, pairs, twice := orderCells()
-	for kind, list := range map[string][]cell{"single": singles, "twice": twice, "pair": sample(pairs)} {
+	for kind, cells := range map[string][]cell{"single": singles, "twice": twice, "pair": selectCells(pairs)} {
 		for _, issued := range []bool{false, true} {
 			for _, retry := range []bool{false, true} {
-				for _, c := range list {
+				for _, c := range cells {
 					t.Run(fmt.Sprintf("%s/issued=%t/retry=%t/%s", kind, issued, retry, c), func(t *testing.T) {
 						t.Parallel()
-						wrong, refused := orderCell(t, issued, retry, c)
-						note(t, fmt.Sprintf("order %s, issued=%t", kind, issued), c, wrong, refused)
+						failure, refused := runOrderCell(t, issued, retry, c)
+						recordResult(t, fmt.Sprintf("order %s, issued=%t", kind, issued), c, failure, refused)
 					})
 				}
 			}
--- a/entry/internal/proof/sheet_test.go
+++ b/entry/internal/proof/sheet_test.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	forceBound  = 4 * time.Second       // forceBound is the users' bound for a sheet to be in force everywhere.
-	lookPeriod  = 50 * time.Millisecond // lookPeriod is the time between two looks at what is in force.
-	sheetFleet  = 5                     // sheetFleet is the number of instances, more than watch the platform.
-	sheetBefore = time.Second           // sheetBefore is the time between an early fault and the push, and between the push and a late one.
-	sheetSettle = 25 * time.Second
-	ceilingOld  = 20
-	ceilingNew  = 7
+	sheetApplyBound  = 4 * time.Second // Required bound on the time until a pushed sheet applies everywhere.
+	checkInterval    = 50 * time.Millisecond
+	sheetNodes       = 5                // More than the three instances that watch the platform.
+	sheetFaultOffset = time.Second      // Time from an early fault to the push and from the push to a late fault.
+	sheetSettleTime  = 25 * time.Second // Time after the push in which all faults end and all instances recover.
+	ceilingOld       = 20
+	ceilingNew       = 7
 )
 
-// sheetFaults holds every fault of "What fails" that can meet a sheet on its way.
+// sheetFaults returns the faults that are injected around the push of a sheet, by name.
 func sheetFaults() map[string]func(w *world) {
 	return map[string]func(w *world){
-		"platform-down":           func(w *world) { w.platformFault(store.Down{}) },
+		"platform-down":           func(w *world) { w.failPlatform(store.Down{}) },
 		"platform-frozen":         func(w *world) { pause(w, platformName) },
-		"platform-slow":           func(w *world) { w.platformFault(store.Slow{By: time.Second}) },
-		"watcher-killed":          func(w *world) { w.set(w.watcher(), dead) },
-		"watcher-restarted":       func(w *world) { w.bounce(w.watcher()) },
+		"platform-slow":           func(w *world) { w.failPlatform(store.Slow{By: time.Second}) },
+		"watcher-killed":          func(w *world) { w.setState(w.watcher(), dead) },
+		"watcher-restarted":       func(w *world) { w.restartNode(w.watcher()) },
 		"watcher-paused":          func(w *world) { pause(w, w.watcher()) },
 		"watchers-cut":            func(w *world) { w.cutWatchers() },
-		"instance-restarted":      func(w *world) { w.bounce("node-4") },
+		"instance-restarted":      func(w *world) { w.restartNode("node-4") },
 		"instance-paused":         func(w *world) { pause(w, "node-4") },
 		"instance-cut":            func(w *world) { w.isolate("node-4", platformName) },
 		"instance-cut-from-peers": func(w *world) { w.isolate("node-4", "") },
@@ -44,51 +44,51 @@
 			w.isolate("node-3", platformName, "node-4")
 			w.isolate("node-4", platformName, "node-3")
 		},
-		"leaves": func(w *world) { w.node("node-0").Fleet.Leave() },
+		"node-leaves": func(w *world) { w.node("node-0").Fleet.Leave() },
 	}
 }
 
-// sheetSteps holds the steps of a sheet's path as the time from the push.
+// sheetSteps returns the steps at which faults are injected, as the time from the push of a sheet.
 func sheetSteps() map[string]time.Duration {
-	return map[string]time.Duration{"before": -sheetBefore, "pushed": linkDelay, "spreading": 20 * time.Millisecond, "after": sheetBefore}
+	return map[string]time.Duration{"before": -sheetFaultOffset, "pushed": linkDelay, "spreading": 20 * time.Millisecond, "after": sheetFaultOffset}
 }
 
-// bounce kills a node and starts it empty a little later.
-func (w *world) bounce(name string) {
-	w.set(name, dead)
+// restartNode kills a node and starts it without its state half a second later.
+func (w *world) restartNode(name string) {
+	w.setState(name, dead)
 	var i int
 	_, _ = fmt.Sscanf(name, "node-%d", &i)
-	later(500*time.Millisecond, func() {
-		if w.life.Err() == nil {
+	runAfter(500*time.Millisecond, func() {
+		if w.runCtx.Err() == nil {
 			w.startNode(i)
 		}
 	})
 }
 
-// cutWatchers cuts every instance that watches from the platform.
+// cutWatchers interrupts the links from the platform to every instance that is elected to watch it.
 func (w *world) cutWatchers() {
-	for _, name := range w.names() {
+	for _, name := range w.runningNodes() {
 		if w.node(name).Fleet.Elected("watch", 3) {
-			sever(w, name, platformName)
+			interruptLink(w, name, platformName)
 		}
 	}
 }
 
-// isolate cuts an instance from all others but the named ones, and from the platform if it is named first.
-func (w *world) isolate(name, platform string, but ...string) {
-	for _, other := range w.names() {
-		if other != name && !slices.Contains(but, other) {
-			sever(w, name, other)
+// isolate interrupts the links of an instance to all others except some, and to the platform unless that is empty.
+func (w *world) isolate(name, platform string, except ...string) {
+	for _, other := range w.runningNodes() {
+		if other != name && !slices.Contains(except, other) {
+			interruptLink(w, name, other)
 		}
 	}
 	if platform != "" {
-		sever(w, name, platform)
+		interruptLink(w, name, platform)
 	}
 }
 
-// watcher returns an instance that watches the platform.
+// watcher returns an instance that is elected to watch the platform.
 func (w *world) watcher() string {
-	for _, name := range w.names() {
+	for _, name := range w.runningNodes() {
 		if w.node(name).Fleet.Elected("watch", 3) {
 			return name
 		}
@@ -96,178 +96,183 @@
 	return "node-0"
 }
 
-// monitor looks at what each instance has in force.
+// monitor checks which sheet each instance applies.
 type monitor struct {
-	dark    time.Time // dark is when the platform was last seen unreadable, which counts when it came right after the push.
-	w       *world
-	mu      sync.Mutex
-	pushed  time.Time
-	wrong   string
-	awake   map[string]time.Time // awake holds since when an instance runs without a pause.
-	highest map[*node.Node]conf.Revision
+	// lastUnreadable is when the platform was last unreadable, in an outage that began within the bound after the push;
+	// instances may not have read the sheet before it.
+	lastUnreadable  time.Time
+	w               *world
+	mu              sync.Mutex
+	pushedAt        time.Time
+	failure         string
+	runningSince    map[string]time.Time // Start of the uninterrupted run of each instance.
+	highestRevision map[*node.Node]conf.Revision
 }
 
-// look checks every running instance once.
-func (m *monitor) look() {
+// check records a failure if a running instance went back to an older revision or serves the old sheet too late.
+func (m *monitor) check() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	running := m.w.names()
-	if !m.pushed.IsZero() && m.w.isDark() && now.Sub(m.pushed) < forceBound {
-		m.dark = now
+	names := m.w.runningNodes()
+	if !m.pushedAt.IsZero() && m.w.isPlatformUnreadable() && now.Sub(m.pushedAt) < sheetApplyBound {
+		m.lastUnreadable = now
 	}
-	if !m.dark.IsZero() && m.w.isDark() {
-		m.dark = now
+	if !m.lastUnreadable.IsZero() && m.w.isPlatformUnreadable() {
+		m.lastUnreadable = now
 	}
-	for name := range m.awake {
-		if !slices.Contains(running, name) {
-			delete(m.awake, name)
+	for name := range m.runningSince {
+		if !slices.Contains(names, name) {
+			delete(m.runningSince, name)
 		}
 	}
-	for _, name := range running {
-		if _, ok := m.awake[name]; !ok {
-			m.awake[name] = now
+	for _, name := range names {
+		if _, ok := m.runningSince[name]; !ok {
+			m.runningSince[name] = now
 		}
 		m.w.mu.Lock()
 		n := m.w.nodes[name]
 		m.w.mu.Unlock()
-		s := n.Watch.Snapshot()
-		if s.Revision() < m.highest[n] {
-			m.wrong = fmt.Sprintf("%s went back from revision %d to %d", name, m.highest[n], s.Revision())
+		snapshot := n.Watch.Snapshot()
+		if snapshot.Revision() < m.highestRevision[n] {
+			m.failure = fmt.Sprintf("%s went back from configuration revision %d to %d", name, m.highestRevision[n], snapshot.Revision())
 		}
-		m.highest[n] = s.Revision()
+		m.highestRevision[n] = snapshot.Revision()
 		current, err := n.Watch.Current()
-		if err != nil || m.pushed.IsZero() || now.Sub(m.pushed) < forceBound || now.Sub(m.dark) < forceBound || now.Sub(m.awake[name]) < forceBound {
+		if err != nil || m.pushedAt.IsZero() || now.Sub(m.pushedAt) < sheetApplyBound || now.Sub(m.lastUnreadable) < sheetApplyBound || now.Sub(m.runningSince[name]) < sheetApplyBound {
 			continue
 		}
-		if l, _, _ := current.Limit("org"); l.Ceiling != ceilingNew {
-			m.wrong = fmt.Sprintf("%s serves the old sheet %s after the push", name, now.Sub(m.pushed))
+		if limit, _, _ := current.Limit("org"); limit.Ceiling != ceilingNew {
+			m.failure = fmt.Sprintf("%s still serves the old sheet %s after the push", name, now.Sub(m.pushedAt))
 		}
 	}
 }
 
-// sheetCell runs one cell and returns what is wrong.
-func sheetCell(t *testing.T, faults cell) (wrong string) {
+// runSheetCell runs one cell and returns the failure found, or an empty string.
+func runSheetCell(t *testing.T, faults cell) (failure string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, sheetFleet, 1, "latency")
+		w := newWorld(t, sheetNodes, 1, "latency")
 		defer w.close()
-		m := &monitor{w: w, awake: make(map[string]time.Time), highest: make(map[*node.Node]conf.Revision)}
-		ctx, stop := context.WithCancel(w.life)
+		m := &monitor{w: w, runningSince: make(map[string]time.Time), highestRevision: make(map[*node.Node]conf.Revision)}
+		ctx, stop := context.WithCancel(w.runCtx)
 		go func() {
 			for ctx.Err() == nil {
-				m.look()
-				time.Sleep(lookPeriod)
+				m.check()
+				time.Sleep(checkInterval)
 			}
 		}()
-		push := 2 * sheetBefore
-		steps, table := sheetSteps(), sheetFaults()
+		pushDelay := 2 * sheetFaultOffset
+		steps, injectors := sheetSteps(), sheetFaults()
 		for _, f := range faults {
-			at := push + steps[f.step]
-			if f.step == again {
-				at = push + steps[faults[0].step] + againAfter
+			at := pushDelay + steps[f.step]
+			if f.step == repeatStep {
+				at = pushDelay + steps[faults[0].step] + repeatDelay
 			}
-			later(at, func() { table[f.fault](w) })
+			runAfter(at, func() { injectors[f.fault](w) })
 		}
-		time.Sleep(push)
+		time.Sleep(pushDelay)
 		for !w.tryPushSheet() {
-			time.Sleep(lookPeriod)
+			time.Sleep(checkInterval)
 		}
 		m.mu.Lock()
-		m.pushed = time.Now()
+		m.pushedAt = time.Now()
 		m.mu.Unlock()
-		time.Sleep(sheetSettle)
+		time.Sleep(sheetSettleTime)
 		stop()
-		m.look()
-		wrong = m.wrong
-		for _, name := range w.names() {
-			if current, err := w.node(name).Watch.Current(); wrong == "" && err != nil {
-				wrong = fmt.Sprintf("%s still refuses after all is mended: %v, revision %d", name, err, current.Revision())
+		m.check()
+		failure = m.failure
+		for _, name := range w.runningNodes() {
+			if current, err := w.node(name).Watch.Current(); failure == "" && err != nil {
+				failure = fmt.Sprintf("%s still refuses requests after all faults ended: %v, revision %d", name, err, current.Revision())
 			}
 		}
 	})
-	return wrong
+	return failure
 }
 
-// isDark tells whether nobody can read the platform, so that nobody can know of a sheet that it accepted.
-func (w *world) isDark() bool {
+// isPlatformUnreadable tells whether no instance can read the platform and thus learn of a sheet that it accepted.
+func (w *world) isPlatformUnreadable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.conditions[platformName] != running || w.refusing
+	return w.processStates[platformName] != running || w.platformRefuses
 }
 
-// tryPushSheet pushes the new sheet if the platform takes it now.
+// tryPushSheet pushes the new sheet and tells whether the platform accepted it.
 func (w *world) tryPushSheet() bool {
 	w.mu.Lock()
-	reachable := w.conditions[platformName] == running
+	reachable := w.processStates[platformName] == running
 	w.mu.Unlock()
-	o, err := w.platform.Get(w.life, conf.KindSheet, "club")
+	o, err := w.platform.Get(w.runCtx, conf.KindSheet, "club")
 	if err != nil || !reachable {
 		return false
 	}
 	value := fmt.Sprintf(`{"date":"2026-12-02","limits":[{"organisation":"org","share":100,"priority":1,"ceiling":%d,"models":["m"],"recovery":"latency"}]}`, ceilingNew)
-	_, err = w.platform.Put(w.life, o.WithValue("new", []byte(value)))
+	_, err = w.platform.Put(w.runCtx, o.WithValue("new", []byte(value)))
 	return err == nil
 }
 
+// TestSheetMatrix checks under each cell of faults that the instances which serve requests apply a pushed sheet in
+// time, that none goes back to an older revision and that all serve again after the faults.
 func TestSheetMatrix(t *testing.T) {
-	singles, pairs, twice := cells(slices.Sorted(maps.Keys(sheetFaults())), slices.Sorted(maps.Keys(sheetSteps())))
-	for kind, list := range map[string][]cell{"single": singles, "twice": twice, "pair": sample(pairs)} {
-		for _, c := range list {
+	singles, pairs, twice := allCells(slices.Sorted(maps.Keys(sheetFaults())), slices.Sorted(maps.Keys(sheetSteps())))
+	for kind, cells := range map[string][]cell{"single": singles, "twice": twice, "pair": selectCells(pairs)} {
+		for _, c := range cells {
 			t.Run(kind+"/"+c.String(), func(t *testing.T) {
 				t.Parallel()
-				note(t, "sheet "+kind, c, sheetCell(t, c), false)
+				recordResult(t, "sheet "+kind, c, runSheetCell(t, c), false)
 			})
 		}
 	}
 }
 
-// TestOutageOrIsolation checks what an instance does that cannot reach the platform, by the evidence it has.
+// TestOutageOrIsolation checks that an instance which cannot reach the platform goes on serving while it reaches most
+// of its peers. An instance that is cut off from them too refuses requests, since its configuration may be stale.
 func TestOutageOrIsolation(t *testing.T) {
 	cases := map[string]struct {
-		disturb func(w *world)
-		look    string // look is the instance that is asked.
-		serves  bool
+		inject     func(w *world)
+		askedNode  string // The instance that is checked.
+		wantServes bool
 	}{
-		"platform-down":                 {disturb: func(w *world) { w.set(platformName, frozen) }, look: "node-0", serves: true},
-		"platform-down-and-one-dead":    {disturb: func(w *world) { w.set(platformName, frozen); w.set("node-4", dead) }, look: "node-0", serves: true},
-		"alone-cut-from-platform":       {disturb: func(w *world) { w.cut("node-0", platformName, true) }, look: "node-0", serves: true},
-		"alone-cut-from-all":            {disturb: func(w *world) { cutAll(w, "node-0") }, look: "node-0"},
-		"the-others-of-one-cut-off":     {disturb: func(w *world) { cutAll(w, "node-0") }, look: "node-1", serves: true},
-		"restarted-while-platform-down": {disturb: func(w *world) { w.set(platformName, frozen); w.bounce("node-2") }, look: "node-2", serves: true},
-		"platform-down-after-three-left": {disturb: func(w *world) {
+		"platform-frozen":                 {inject: func(w *world) { w.setState(platformName, frozen) }, askedNode: "node-0", wantServes: true},
+		"platform-frozen-and-one-dead":    {inject: func(w *world) { w.setState(platformName, frozen); w.setState("node-4", dead) }, askedNode: "node-0", wantServes: true},
+		"one-cut-from-platform":           {inject: func(w *world) { w.setLinkCut("node-0", platformName, true) }, askedNode: "node-0", wantServes: true},
+		"one-cut-from-all":                {inject: func(w *world) { cutAllLinks(w, "node-0") }, askedNode: "node-0"},
+		"peer-of-one-cut-from-all":        {inject: func(w *world) { cutAllLinks(w, "node-0") }, askedNode: "node-1", wantServes: true},
+		"restarted-while-platform-frozen": {inject: func(w *world) { w.setState(platformName, frozen); w.restartNode("node-2") }, askedNode: "node-2", wantServes: true},
+		"platform-frozen-after-three-left": {inject: func(w *world) {
 			for _, name := range []string{"node-2", "node-3", "node-4"} {
 				w.node(name).Fleet.Leave()
 			}
 			time.Sleep(2 * time.Second)
 			for _, name := range []string{"node-2", "node-3", "node-4"} {
-				w.set(name, dead)
+				w.setState(name, dead)
 			}
 			time.Sleep(5 * time.Second)
-			w.set(platformName, frozen)
-		}, look: "node-0", serves: true},
-		"restarted-and-cut-from-all": {disturb: func(w *world) { cutAll(w, "node-2"); w.bounce("node-2") }, look: "node-2"},
+			w.setState(platformName, frozen)
+		}, askedNode: "node-0", wantServes: true},
+		"restarted-and-cut-from-all": {inject: func(w *world) { cutAllLinks(w, "node-2"); w.restartNode("node-2") }, askedNode: "node-2"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, sheetFleet, 1, "latency")
+				w := newWorld(t, sheetNodes, 1, "latency")
 				defer w.close()
-				test.disturb(w)
-				time.Sleep(forceBound + 2*time.Second)
-				n := w.node(test.look)
+				test.inject(w)
+				time.Sleep(sheetApplyBound + 2*time.Second)
+				n := w.node(test.askedNode)
 				_, err := n.Watch.Current()
-				quicktest.New(t).Assert(err == nil, quicktest.Equals, test.serves, quicktest.Commentf("%v", err))
+				quicktest.New(t).Assert(err == nil, quicktest.Equals, test.wantServes, quicktest.Commentf("%v", err))
 			})
 		})
 	}
 }
 
-// cutAll cuts an instance from everything for good.
-func cutAll(w *world, name string) {
-	w.cut(name, platformName, true)
-	for i := range sheetFleet {
+// cutAllLinks cuts an instance from the platform and all other instances for good.
+func cutAllLinks(w *world, name string) {
+	w.setLinkCut(name, platformName, true)
+	for i := range sheetNodes {
 		if other := fmt.Sprintf("node-%d", i); other != name {
-			w.cut(name, other, true)
+			w.setLinkCut(name, other, true)
 		}
 	}
 }
--- a/entry/internal/proof/steer_test.go
+++ b/entry/internal/proof/steer_test.go
@@ -11,16 +11,18 @@
 	"bramleywharf.example/core/conf"
 )
 
-// mendBound is the longest that an engine which ignores fencing numbers may hold what a late order told it.
-const mendBound = 15 * time.Second
+// repairBound bounds the time until an engine that ignores fencing tokens is ordered to undo a late order.
+const repairBound = 15 * time.Second
 
-// TestLateOrders keeps an order in the network and pauses its sender, the holder of the lease, lets another take over, and lets the late order arrive.
+// TestLateOrders delivers an order to an engine late: its sender, the holder of the lease, froze while it was sent and
+// another instance took the lease and ordered other models since. An engine that checks fencing tokens refuses the late
+// order; one that ignores them is ordered back to the declared models.
 func TestLateOrders(t *testing.T) {
 	cases := map[string]struct {
-		ignores bool // ignores tells whether the engine takes orders with an old fencing number.
+		ignoresFencing bool // The engine accepts orders with an old fencing token.
 	}{
-		"checking": {},
-		"ignoring": {ignores: true},
+		"checks-fencing":  {},
+		"ignores-fencing": {ignoresFencing: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -28,51 +30,51 @@
 				w := newWorld(t, 3, 1, "latency")
 				defer w.close()
 				e := w.engines["engine-0"]
-				e.with(func() { e.ignores = test.ignores })
+				e.update(func() { e.ignoresFencing = test.ignoresFencing })
 				declare := func(models string) {
 					w.declare(conf.KindTarget, "engine-0", fmt.Sprintf(
-						`{"address":"engine-0:1","failure-domain":"fd-0","models":[%s],"slots":16,"ignores-fencing":%t}`, models, test.ignores))
+						`{"address":"engine-0:1","failure-domain":"fd-0","models":[%s],"slots":16,"ignores-fencing":%t}`, models, test.ignoresFencing))
 				}
 				declare(`"m"`)
-				w.until(t, 20*time.Second, "first models", func() bool { return e.holds("m") })
-				var paused atomic.Pointer[string]
-				w.hook("order", func() {
-					name := w.names()[slices.IndexFunc(w.names(), func(n string) bool { return w.nodes[n].Fleet.Elected("steer", 1) })]
+				w.waitFor(t, 20*time.Second, "models of the first declaration", func() bool { return e.holds("m") })
+				var pausedNode atomic.Pointer[string]
+				w.addHook("order", func() {
+					name := w.runningNodes()[slices.IndexFunc(w.runningNodes(), func(n string) bool { return w.nodes[n].Fleet.Elected("steer", 1) })]
 					w.mu.Lock()
-					w.catchOrder = true
+					w.holdNextOrder = true
 					w.mu.Unlock()
-					w.set(name, frozen)
-					paused.Store(&name)
+					w.setState(name, frozen)
+					pausedNode.Store(&name)
 				})
 				declare(`"m","old"`)
-				w.until(t, 20*time.Second, "order under way", func() bool { return paused.Load() != nil })
+				w.waitFor(t, 20*time.Second, "order sent", func() bool { return pausedNode.Load() != nil })
 				declare(`"m","new"`)
-				w.until(t, 40*time.Second, "order of the next holder", func() bool { return e.holds("m", "new") })
-				w.set(*paused.Load(), running)
-				err := w.lateOrder()
-				if taken := e.holds("m", "old"); taken != test.ignores || (err != nil) == test.ignores {
-					t.Errorf("late order taken: %t, want %t (%v)", taken, test.ignores, err)
+				w.waitFor(t, 40*time.Second, "order of the next lease holder", func() bool { return e.holds("m", "new") })
+				w.setState(*pausedNode.Load(), running)
+				err := w.deliverHeldOrder()
+				if applied := e.holds("m", "old"); applied != test.ignoresFencing || (err != nil) == test.ignoresFencing {
+					t.Errorf("late order applied: %t, want %t (%v)", applied, test.ignoresFencing, err)
 				}
-				w.until(t, mendBound, "models of the declaration in force", func() bool { return e.holds("m", "new") })
+				w.waitFor(t, repairBound, "declared models after the late order", func() bool { return e.holds("m", "new") })
 			})
 		})
 	}
 }
 
-// holds tells whether the engine holds exactly some models.
+// holds tells whether the engine holds exactly these models.
 func (e *fakeEngine) holds(models ...string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Equal(e.models, models)
 }
 
-// until waits for a condition.
-func (w *world) until(t *testing.T, bound time.Duration, what string, ok func() bool) {
+// waitFor fails the test unless a condition holds within the timeout.
+func (w *world) waitFor(t *testing.T, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
-	limit := time.Now().Add(bound)
+	deadline := time.Now().Add(timeout)
 	for !ok() {
-		if time.Now().After(limit) {
-			t.Fatalf("%s: not within %s", what, bound)
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: not seen within %s", what, timeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/entry/internal/proof/world_test.go
+++ b/entry/internal/proof/world_test.go
@@ -22,64 +22,63 @@
 
 const (
 	platformName = "platform"
-	linkDelay    = time.Millisecond
-	linger       = 5 * time.Second
+	linkDelay    = time.Millisecond // Time that one message takes.
+	linger       = 5 * time.Second  // How long a generation goes on after its caller disconnected.
 )
 
 var (
-	errGone    = errors.New("process is dead")
+	errDead    = errors.New("process is dead")
 	errRefused = errors.New("connection refused")
 )
 
-// condition is the state of a process in the world.
-type condition int
+type processState int
 
 const (
-	running condition = iota
-	frozen
+	running processState = iota
+	frozen               // Sends and receives nothing until it runs again, as a process stopped by a signal.
 	dead
 )
 
-// world holds processes and the links between them.
+// world simulates the processes of a deployment and the network between them.
 type world struct {
 	t        *testing.T
 	platform *store.Memory
 	nodes    map[string]*node.Node
 	engines  map[string]*fakeEngine
 	services map[string]*fakeService
-	end      context.CancelFunc
-	life     context.Context
-
-	mu         sync.Mutex
-	conditions map[string]condition
-	cuts       map[[2]string]bool
-	changed    chan struct{}
-	hooks      map[string][]func()
-	allNodes   []*node.Node
-	paused     bool         // paused tells whether anything was ever paused.
-	calls      calls        // calls counts calls to the platform.
-	catchOrder bool         // catchOrder makes the next order to an engine stay in the network.
-	lateOrder  func() error // lateOrder delivers the order that was caught.
-	refusing   bool         // refusing tells whether the platform refuses every call.
+	cancel   context.CancelFunc
+	runCtx   context.Context
+
+	mu               sync.Mutex
+	processStates    map[string]processState // A process without an entry is running.
+	cutLinks         map[[2]string]bool
+	changed          chan struct{}       // Closed and replaced when a process or link changes.
+	hooks            map[string][]func() // Functions to call once, by the name of the point.
+	startedNodes     []*node.Node        // Includes nodes that a restart replaced.
+	everPaused       bool                // Whether any process was ever paused.
+	platformCalls    platformCalls
+	holdNextOrder    bool         // Hold the next order to an engine in the network.
+	deliverHeldOrder func() error // Delivers the held order.
+	platformRefuses  bool         // Whether the platform refuses every call.
 }
 
-// newWorld starts nodes, engines and services over a platform that holds a sheet.
+// newWorld starts nodes, engines and two services; the sheet in the platform sets the recovery policy.
 func newWorld(t *testing.T, nodes, engines int, recovery string) *world {
 	w := &world{
-		t:          t,
-		platform:   store.NewMemory(),
-		nodes:      make(map[string]*node.Node),
-		engines:    make(map[string]*fakeEngine),
-		services:   make(map[string]*fakeService),
-		conditions: make(map[string]condition),
-		cuts:       make(map[[2]string]bool),
-		changed:    make(chan struct{}),
-		hooks:      make(map[string][]func()),
-		calls:      calls{reads: make(map[int64]int), writes: make(map[int64]int)},
+		t:             t,
+		platform:      store.NewMemory(),
+		nodes:         make(map[string]*node.Node),
+		engines:       make(map[string]*fakeEngine),
+		services:      make(map[string]*fakeService),
+		processStates: make(map[string]processState),
+		cutLinks:      make(map[[2]string]bool),
+		changed:       make(chan struct{}),
+		hooks:         make(map[string][]func()),
+		platformCalls: platformCalls{reads: make(map[int64]int), writes: make(map[int64]int)},
 	}
-	// Go 1.26's race detector crashes when the first timer of a bubble is found due by a select; a sleep first avoids that.
+	// Sleep, since Go 1.26's race detector crashes when a select finds the first timer of a synctest bubble due.
 	time.Sleep(time.Nanosecond)
-	w.life, w.end = context.WithCancel(t.Context())
+	w.runCtx, w.cancel = context.WithCancel(t.Context())
 	for i := range engines {
 		name := fmt.Sprintf("engine-%d", i)
 		w.engines[name] = newFakeEngine(w, name)
@@ -92,14 +91,14 @@
 	}
 	w.declare(conf.KindModel, "m", `{"versions":["1","2"],"default-version":"1"}`)
 	w.declare(conf.KindService, "orders", `{"calls":[{"method":"POST","path":"/orders","non-idempotent":true,"status-path":"/status/{key}"}]}`)
-	w.declare(conf.KindOrganisation, "org", `{"key-hash":"`+hashOf("key")+`"}`)
+	w.declare(conf.KindOrganisation, "org", `{"key-hash":"`+keyHash("key")+`"}`)
 	w.pushSheet(1, recovery, 20)
-	var list []store.Instance
+	var instances []store.Instance
 	for i := range nodes {
 		name := fmt.Sprintf("node-%d", i)
-		list = append(list, store.Instance{Name: name, Domain: fmt.Sprintf("fd-%d", i%3), CallerAddress: name, PeerAddress: name})
+		instances = append(instances, store.Instance{Name: name, Domain: fmt.Sprintf("fd-%d", i%3), CallerAddress: name, PeerAddress: name})
 	}
-	w.platform.SetInstances(list)
+	w.platform.SetInstances(instances)
 	for i := range nodes {
 		w.startNode(i)
 	}
@@ -107,45 +106,45 @@
 	return w
 }
 
-// close stops everything.
+// close kills all processes and closes the nodes.
 func (w *world) close() {
 	w.mu.Lock()
-	for name := range w.conditions {
-		w.conditions[name] = dead
+	for name := range w.processStates {
+		w.processStates[name] = dead
 	}
 	for name := range w.nodes {
-		w.conditions[name] = dead
+		w.processStates[name] = dead
 	}
-	w.wake()
+	w.notifyChange()
 	w.mu.Unlock()
-	w.end()
-	for _, n := range w.allNodes {
+	w.cancel()
+	for _, n := range w.startedNodes {
 		n.Close()
 	}
-	time.Sleep(15 * time.Second) // The slowest engine and caller notice their end.
+	time.Sleep(15 * time.Second) // Long enough for the slowest engine and caller to stop.
 }
 
-// cut breaks or mends the link between two processes.
-func (w *world) cut(a, b string, broken bool) {
+// setLinkCut cuts or restores the link between two processes.
+func (w *world) setLinkCut(a, b string, isCut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cuts[link(a, b)] = broken
-	w.wake()
+	w.cutLinks[linkKey(a, b)] = isCut
+	w.notifyChange()
 }
 
-// declare stores a configuration object.
+// declare stores a configuration object in the platform.
 func (w *world) declare(kind, name, value string) {
-	o, err := w.platform.Get(w.life, kind, name)
+	o, err := w.platform.Get(w.runCtx, kind, name)
 	if err != nil {
 		o = store.Object{Kind: kind, Name: name}
 	}
-	if _, err := w.platform.Put(w.life, o.WithValue(fmt.Sprint(time.Now()), []byte(value))); err != nil {
+	if _, err := w.platform.Put(w.runCtx, o.WithValue(fmt.Sprint(time.Now()), []byte(value))); err != nil {
 		w.t.Errorf("declare %s/%s: %v", kind, name, err)
 	}
 }
 
-// fire calls the hooks of a point once.
-func (w *world) fire(point string) {
+// runHooks calls and removes the hooks of a point.
+func (w *world) runHooks(point string) {
 	w.mu.Lock()
 	hooks := w.hooks[point]
 	delete(w.hooks, point)
@@ -155,44 +154,46 @@
 	}
 }
 
-// hook calls a function when a point is reached next.
-func (w *world) hook(point string, call func()) {
+// addHook makes the next runHooks of a point call hook.
+func (w *world) addHook(point string, hook func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hooks[point] = append(w.hooks[point], call)
+	w.hooks[point] = append(w.hooks[point], hook)
 }
 
-// names returns the names of nodes that run, sorted.
-func (w *world) names() []string {
+// runningNodes returns the names of the running nodes, sorted.
+func (w *world) runningNodes() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var names []string
+	var runningNodes []string
 	for name := range w.nodes {
-		if w.conditions[name] == running {
-			names = append(names, name)
+		if w.processStates[name] == running {
+			runningNodes = append(runningNodes, name)
 		}
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(runningNodes)
+	return runningNodes
 }
 
-// pass carries a message over a link, or waits as long as the link and both ends are silent.
-func (w *world) pass(ctx context.Context, from, to string) error {
+// transmit returns once a message has travelled from one process to another. It waits while the link is cut or an end
+// is frozen; a frozen sender does not notice the end of ctx. It fails if the sender is dead, or if the receiver is dead
+// and the link is not cut.
+func (w *world) transmit(ctx context.Context, from, to string) error {
 	for {
 		w.mu.Lock()
 		changed := w.changed
-		self, other, broken := w.conditions[from], w.conditions[to], w.cuts[link(from, to)]
+		sender, receiver, isCut := w.processStates[from], w.processStates[to], w.cutLinks[linkKey(from, to)]
 		w.mu.Unlock()
 		switch {
-		case self == dead:
-			return errGone
-		case self == frozen:
+		case sender == dead:
+			return errDead
+		case sender == frozen:
 			<-changed
 			continue
-		case other == dead && !broken:
+		case receiver == dead && !isCut:
 			return errRefused
-		case other == running && !broken:
-			return w.travel(ctx, from)
+		case receiver == running && !isCut:
+			return w.awaitLinkDelay(ctx, from)
 		}
 		select {
 		case <-changed:
@@ -202,30 +203,30 @@
 	}
 }
 
-// pushSheet replaces the member's sheet.
+// pushSheet replaces the sheet in the platform.
 func (w *world) pushSheet(day int, recovery string, ceiling int) {
 	w.declare(conf.KindSheet, "club", fmt.Sprintf(
 		`{"date":"2026-12-%02d","limits":[{"organisation":"org","share":100,"priority":1,"ceiling":%d,"models":["m"],"recovery":%q}]}`,
 		day, ceiling, recovery))
 }
 
-// set changes the condition of a process.
-func (w *world) set(name string, c condition) {
+// setState changes the state of a process; a dead process can only be started again.
+func (w *world) setState(name string, state processState) {
 	w.mu.Lock()
-	if w.conditions[name] != dead || c == running {
-		w.conditions[name] = c
+	if w.processStates[name] != dead || state == running {
+		w.processStates[name] = state
 	}
-	w.wake()
+	w.notifyChange()
 	w.mu.Unlock()
-	if e := w.engines[name]; e != nil && c == dead {
-		e.forget()
+	if e := w.engines[name]; e != nil && state == dead {
+		e.dropGenerations()
 	}
 }
 
-// startNode starts a node, again if it ran before.
+// startNode starts the i-th node, anew if it ran before.
 func (w *world) startNode(i int) {
 	name := fmt.Sprintf("node-%d", i)
-	w.set(name, running)
+	w.setState(name, running)
 	n, err := node.New(node.Settings{
 		Self: member.Member{
 			Name:          name,
@@ -240,76 +241,76 @@
 		Costly: 16,
 		Linger: linger,
 	}, node.Borders{
-		Platform: &fakeStore{w: w, self: name},
-		Engines:  &fakeEngines{w: w, self: name},
-		Services: &fakeServices{w: w, self: name},
-		Peers:    &fakeNet{w: w, self: name},
+		Platform: &fakeStore{w: w, nodeName: name},
+		Engines:  &fakeEngines{w: w, nodeName: name},
+		Services: &fakeServices{w: w, nodeName: name},
+		Peers:    &fakeNet{w: w, nodeName: name},
 	}, &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}, metrics.NewSet())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.mu.Lock()
 	w.nodes[name] = n
-	w.allNodes = append(w.allNodes, n)
+	w.startedNodes = append(w.startedNodes, n)
 	w.mu.Unlock()
 }
 
-// node returns the node that runs under a name now.
+// node returns the node that was last started under a name.
 func (w *world) node(name string) *node.Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[name]
 }
 
-// travel takes the time of a link.
-func (w *world) travel(ctx context.Context, from string) error {
+// awaitLinkDelay waits for the delay of a link and fails if the sender died meanwhile.
+func (w *world) awaitLinkDelay(ctx context.Context, from string) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-w.life.Done():
-		return errGone
+	case <-w.runCtx.Done():
+		return errDead
 	case <-time.After(linkDelay):
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.conditions[from] == dead {
-		return errGone
+	if w.processStates[from] == dead {
+		return errDead
 	}
 	return nil
 }
 
-// wake tells waiting messages that something changed; the lock is held.
-func (w *world) wake() {
+// notifyChange wakes waiting messages and streams; w.mu must be held.
+func (w *world) notifyChange() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// link names the link between two processes in either direction.
-func link(a, b string) [2]string {
+// linkKey returns the key of the link between two processes, the same for both directions.
+func linkKey(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
 	return [2]string{a, b}
 }
 
-// fakeNet carries messages between nodes.
+// fakeNet is the peer.Net of one node.
 type fakeNet struct {
-	w    *world
-	self string
+	w        *world
+	nodeName string
 }
 
-// Ask carries a message and its answer.
+// Ask sends a message to a peer and returns its answer.
 func (f *fakeNet) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if err := f.w.pass(ctx, f.self, address); err != nil {
+	if err := f.w.transmit(ctx, f.nodeName, address); err != nil {
 		return nil, err
 	}
 	f.w.mu.Lock()
 	n := f.w.nodes[address]
 	f.w.mu.Unlock()
 	answer := n.HandlePeer(ctx, m)
-	if err := f.w.pass(ctx, address, f.self); err != nil {
+	if err := f.w.transmit(ctx, address, f.nodeName); err != nil {
 		return nil, err
 	}
 	if failed, ok := answer.(wire.Failed); ok {
@@ -318,82 +319,82 @@
 	return answer, nil
 }
 
-// fakeStore carries calls to the platform.
+// fakeStore is the store.Store of one node.
 type fakeStore struct {
-	w    *world
-	self string
+	w        *world
+	nodeName string
 }
 
-// bounded limits a call in time, as the real client does.
-func (f *fakeStore) bounded(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout bounds a call to its waiting time and two seconds, as the real client does.
+func (f *fakeStore) withTimeout(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, wait+2*time.Second)
 }
 
 func (f *fakeStore) Changes(ctx context.Context, kinds []string, after uint64, wait time.Duration) (store.Page, error) {
-	f.w.count(false)
-	ctx, cancel := f.bounded(ctx, wait)
+	f.w.countPlatformCall(false)
+	ctx, cancel := f.withTimeout(ctx, wait)
 	defer cancel()
-	if f.w.pass(ctx, f.self, platformName) != nil {
+	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
 		return store.Page{}, store.ErrDown
 	}
 	page, err := f.w.platform.Changes(ctx, kinds, after, wait)
-	if f.w.pass(ctx, platformName, f.self) != nil {
+	if f.w.transmit(ctx, platformName, f.nodeName) != nil {
 		return store.Page{}, store.ErrDown
 	}
 	return page, err
 }
 
 func (f *fakeStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
-	f.w.count(false)
-	ctx, cancel := f.bounded(ctx, 0)
+	f.w.countPlatformCall(false)
+	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
-	if f.w.pass(ctx, f.self, platformName) != nil {
+	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
 		return store.Object{}, store.ErrDown
 	}
 	o, err := f.w.platform.Get(ctx, kind, name)
-	if f.w.pass(ctx, platformName, f.self) != nil {
+	if f.w.transmit(ctx, platformName, f.nodeName) != nil {
 		return store.Object{}, store.ErrDown
 	}
 	return o, err
 }
 
 func (f *fakeStore) Instances(ctx context.Context) ([]store.Instance, error) {
-	f.w.count(false)
-	ctx, cancel := f.bounded(ctx, 0)
+	f.w.countPlatformCall(false)
+	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
-	if f.w.pass(ctx, f.self, platformName) != nil {
+	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
 		return nil, store.ErrDown
 	}
 	return f.w.platform.Instances(ctx)
 }
 
 func (f *fakeStore) List(ctx context.Context, kinds []string) (store.Page, error) {
-	f.w.count(false)
-	ctx, cancel := f.bounded(ctx, 0)
+	f.w.countPlatformCall(false)
+	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
-	if f.w.pass(ctx, f.self, platformName) != nil {
+	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
 		return store.Page{}, store.ErrDown
 	}
 	return f.w.platform.List(ctx, kinds)
 }
 
 func (f *fakeStore) Put(ctx context.Context, o store.Object) (uint64, error) {
-	f.w.count(true)
-	ctx, cancel := f.bounded(ctx, 0)
+	f.w.countPlatformCall(true)
+	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
-	if f.w.pass(ctx, f.self, platformName) != nil {
+	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
 		return 0, store.ErrUncertain
 	}
 	revision, err := f.w.platform.Put(ctx, o)
-	f.w.fire("put-" + o.Kind + "-" + phaseOf(o))
-	if f.w.pass(ctx, platformName, f.self) != nil {
+	f.w.runHooks("put-" + o.Kind + "-" + claimPhase(o))
+	if f.w.transmit(ctx, platformName, f.nodeName) != nil {
 		return 0, store.ErrUncertain
 	}
 	return revision, err
 }
 
-// phaseOf returns the phase of a stored claim.
-func phaseOf(o store.Object) string {
+// claimPhase returns the phase of the claim that an object holds, or an empty string.
+func claimPhase(o store.Object) string {
 	for _, phase := range []string{"claimed", "unsent", "done"} {
 		if strings.Contains(string(o.Value), `"phase":"`+phase+`"`) {
 			return phase
