--- a/lab/doc.go
+++ b/lab/doc.go
@@ -1,2 +1,2 @@
-// Lab drives bramleywharf as its users do, breaks things on the way and measures what happens.
+// Lab sends requests to bramleywharf as its callers do, injects faults and measures their effects.
 package main
--- a/lab/internal/caller/caller.go
+++ b/lab/internal/caller/caller.go
@@ -14,8 +14,8 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// ErrCut is returned for a stream that ended before its answer was whole.
-var ErrCut = errors.New("stream ended before its answer was whole")
+// ErrCut is returned for a stream that ended before its last event.
+var ErrCut = errors.New("stream ended before its last event")
 
 // Request is the body of a completion request.
 type Request struct {
@@ -26,28 +26,28 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Answer is what a caller has of one generation; it grows while the caller reconnects.
+// Answer holds what a caller has received of one generation; a resumed stream appends to it.
 type Answer struct {
 	Tokens  []string
-	Times   []time.Time // Times holds when each token came.
+	Times   []time.Time // Times holds the arrival time of each token.
 	LastID  string
 	Done    bool
-	Problem string // Problem is the refusal that ended the stream, or empty.
+	Problem string // Problem is the data of the error event that ended the stream, or empty.
 }
 
-// Result is the answer to a call of a plain service.
+// Result is the response of a plain service.
 type Result struct {
 	Status int
 	Body   string
 }
 
-// Caller calls entry instances with an organisation's key.
+// Caller sends requests to entry instances with the key of an organisation.
 type Caller struct {
 	key    string
 	client *http.Client
 }
 
-// New returns a caller with a key.
+// New returns a caller that authenticates with a key.
 func New(key string) *Caller {
 	return &Caller{key: key, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
@@ -61,13 +61,13 @@
 	return longest
 }
 
-// Text returns the answer in one piece.
+// Text returns the tokens joined.
 func (a *Answer) Text() string {
 	return strings.Join(a.Tokens, "")
 }
 
-// Get reads a path of an instance into a value.
-func (c *Caller) Get(ctx context.Context, address, path string, into any) error {
+// Get decodes the JSON at a path of an instance, engine or service into a value.
+func (c *Caller) Get(ctx context.Context, address, path string, value any) error {
 	response, err := c.do(ctx, http.MethodGet, address, path, nil, nil)
 	if err != nil {
 		return err
@@ -77,13 +77,13 @@
 		body, _ := io.ReadAll(response.Body)
 		return errors.Errorf("%s answered %s: %s", path, response.Status, body)
 	}
-	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
 		return fmt.Errorf("decode %s: %w", path, err)
 	}
 	return nil
 }
 
-// Order calls a plain service with a key.
+// Order posts a JSON body to a plain service with an idempotency key.
 func (c *Caller) Order(ctx context.Context, address, path, key, body string) (Result, error) {
 	header := map[string]string{"Idempotency-Key": key, "Content-Type": "application/json"}
 	response, err := c.do(ctx, http.MethodPost, address, path, []byte(body), header)
@@ -98,8 +98,9 @@
 	return Result{Status: response.StatusCode, Body: string(text)}, nil
 }
 
-// Stream reads a generation into the answer, from its last event id on if it has one, and calls each after every token.
-func (c *Caller) Stream(ctx context.Context, address string, r Request, a *Answer, each func()) error {
+// Stream requests a generation and appends its tokens to the answer, resuming after the answer's last event id if it
+// has one. It calls onEvent after every event but the last.
+func (c *Caller) Stream(ctx context.Context, address string, r Request, a *Answer, onEvent func()) error {
 	r.Stream = true
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -122,17 +123,17 @@
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrCut, err)
 		}
-		if a.take(e) {
+		if a.addEvent(e) {
 			return nil
 		}
-		if each != nil {
-			each()
+		if onEvent != nil {
+			onEvent()
 		}
 	}
 	return ErrCut
 }
 
-// do sends a request with the caller's key.
+// do sends a request that is authenticated with the caller's key.
 func (c *Caller) do(ctx context.Context, method, address, path string, body []byte, header map[string]string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -149,8 +150,8 @@
 	return response, nil
 }
 
-// take adds one event to the answer and tells whether it was the last.
-func (a *Answer) take(e sse.Event) bool {
+// addEvent adds one event to the answer and reports whether it was the last.
+func (a *Answer) addEvent(e sse.Event) bool {
 	if e.Type == "error" {
 		a.Problem = e.Data
 		return true
@@ -159,16 +160,16 @@
 		a.Done = true
 		return true
 	}
-	var piece struct {
+	var chunk struct {
 		Choices []struct {
 			Text   string  `json:"text"`
 			Finish *string `json:"finish_reason"`
 		} `json:"choices"`
 	}
-	if json.Unmarshal([]byte(e.Data), &piece) != nil || len(piece.Choices) == 0 || piece.Choices[0].Finish != nil {
+	if json.Unmarshal([]byte(e.Data), &chunk) != nil || len(chunk.Choices) == 0 || chunk.Choices[0].Finish != nil {
 		return false
 	}
-	a.Tokens = append(a.Tokens, piece.Choices[0].Text)
+	a.Tokens = append(a.Tokens, chunk.Choices[0].Text)
 	a.Times = append(a.Times, time.Now())
 	a.LastID = e.LastEventID
 	return false
--- a/lab/internal/caller/doc.go
+++ b/lab/internal/caller/doc.go
@@ -1,2 +1,2 @@
-// Package caller is a client of the callers' interface, as the users' own are.
+// Package caller is an HTTP client of the interface that bramleywharf offers to callers.
 package caller
