--- a/lab/internal/model/doc.go
+++ b/lab/internal/model/doc.go
@@ -1,6 +1,7 @@
-// Package model is a discrete-event model of instances before engines, for
-// experiments with the routing decisions at sizes that do not fit a machine.
+// Package model is a discrete-event simulation of instances in front of
+// engines, for experiments with routing decisions at fleet sizes that do not
+// fit on one machine.
 //
-// It runs the product's own deciding code over modelled engines: slots, prompt
-// caches and reports that lag.
+// It runs the product's own routing code over simulated engines, which have
+// slots, prompt caches and load reports at intervals.
 package model
--- a/lab/internal/model/fleet.go
+++ b/lab/internal/model/fleet.go
@@ -10,218 +10,219 @@
 	"bramleywharf.example/core/route"
 )
 
-// Settings is the size and load of a model.
+// Settings holds the size and the load of the simulated fleet.
 type Settings struct {
 	Instances int
 	Targets   int
 	Models    int
 	Subset    int // Subset is the number of engines that an instance watches for each model.
 	Slots     int
-	Prefixes  int     // Prefixes is the number of different prompt prefixes, drawn by a Zipf law.
-	Cached    int     // Cached is the number of prefixes that an engine remembers.
-	Rate      float64 // Rate is the number of requests a second.
-	Service   time.Duration
-	Lag       time.Duration // Lag is the time between two reports of an engine.
-	Length    time.Duration // Length is the modelled time.
-	Affinity  int           // Affinity is the number of instances that one prefix is steered to.
-	Choice    string        // Choice is balanced, scanned, least-loaded or random.
+	Prefixes  int           // Prefixes is the number of distinct prompt prefixes, drawn from a Zipf distribution.
+	Cached    int           // Cached is the number of prefixes that an engine's cache holds.
+	Rate      float64       // Rate is the number of requests a second.
+	Service   time.Duration // Service is the mean duration of a generation.
+	Lag       time.Duration // Lag is the interval between two load reports of an engine.
+	Length    time.Duration // Length is the simulated duration.
+	Affinity  int           // Affinity is the number of instances that share the requests of one prefix.
+	Choice    string        // Choice is the way to choose an engine: balanced, scanned, least-loaded or random.
 	Seed      uint64
 }
 
-// Result is what an experiment found.
+// Result holds the measurements of a simulation.
 type Result struct {
 	Requests int
-	Hits     int     // Hits counts requests whose prefix was in the engine's cache.
-	Peak     float64 // Peak is the 99th percentile of load, in shares of the slots.
-	Spread   float64 // Spread is the load of the busiest engine in the mean over the mean of all.
-	Over     int     // Over counts requests that found all slots of their engine taken.
+	Hits     int     // Hits counts the requests whose prefix was in the engine's cache.
+	Peak     float64 // Peak is the 99th percentile of the engines' load, as a fraction of their slots.
+	Spread   float64 // Spread is the mean load of the busiest engine divided by the mean load of all engines.
+	Over     int     // Over counts the requests whose engine had no free slot.
 }
 
-// target is a modelled engine.
+// target is a simulated engine.
 type target struct {
 	name     string
 	running  int
-	reported int
-	sum      float64
-	cache    []int
+	reported int     // reported is the value of running at the last report.
+	loadSum  float64 // loadSum adds up the loads at all reports.
+	cache    []int   // cache holds prefixes, the least recently used first.
 }
 
-// instance is a modelled entry instance.
+// instance is a simulated entry instance.
 type instance struct {
-	name   string
-	subset [][]int         // subset holds the watched engines of each model.
-	own    map[int]int     // own counts this instance's requests at each engine.
-	warm   map[[2]int]bool // warm holds the prefixes that it sent to an engine.
+	name     string
+	subsets  [][]int         // subsets holds the indices of the watched engines, by model.
+	inFlight map[int]int     // inFlight counts this instance's running requests, by index of the engine.
+	sent     map[[2]int]bool // sent holds the pairs of an engine's index and a prefix that was sent to it.
 }
 
-// finish is the end of a request.
-type finish struct {
+// completion is the end of a request; target and instance are indices.
+type completion struct {
 	at       time.Duration
 	target   int
 	instance int
 }
 
-// finishes is a heap by time.
-type finishes []finish
+// completions is a heap of the running requests, the first to end on top.
+type completions []completion
 
-// Len returns the number of requests that run.
-func (f finishes) Len() int { return len(f) }
+// Len returns the number of running requests.
+func (c completions) Len() int { return len(c) }
 
-// Less orders by time.
-func (f finishes) Less(i, j int) bool { return f[i].at < f[j].at }
+// Less orders completions by time.
+func (c completions) Less(i, j int) bool { return c[i].at < c[j].at }
 
-// Pop removes the last.
-func (f *finishes) Pop() any {
-	old := *f
+// Pop removes the last completion.
+func (c *completions) Pop() any {
+	old := *c
 	last := old[len(old)-1]
-	*f = old[:len(old)-1]
+	*c = old[:len(old)-1]
 	return last
 }
 
-// Push adds one.
-func (f *finishes) Push(x any) { *f = append(*f, x.(finish)) }
+// Push appends a completion.
+func (c *completions) Push(x any) { *c = append(*c, x.(completion)) }
 
-// Swap swaps two.
-func (f finishes) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
+// Swap swaps two completions.
+func (c completions) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
-// fleet is the state of a model.
+// fleet is the state of a simulation.
 type fleet struct {
-	settings  Settings
-	random    *rand.Rand
-	targets   []*target
-	instances []*instance
-	names     []string
-	running   finishes
-	loads     []float64
-	result    Result
+	settings      Settings
+	rng           *rand.Rand
+	targets       []*target
+	instances     []*instance
+	instanceNames []string
+	running       completions
+	loads         []float64 // loads holds the load of each engine at each report, as a fraction of its slots.
+	result        Result
 }
 
-// Run runs an experiment.
+// Run runs a simulation.
 func Run(s Settings) Result {
 	f := newFleet(s)
-	zipf := rand.NewZipf(f.random, 1.1, 4, uint64(s.Prefixes-1))
-	var now, report time.Duration
+	zipf := rand.NewZipf(f.rng, 1.1, 4, uint64(s.Prefixes-1))
+	var now, nextReport time.Duration
 	for now < s.Length {
-		now += time.Duration(f.random.ExpFloat64() / s.Rate * float64(time.Second))
-		f.finish(now)
-		for report < now {
-			f.report()
-			report += s.Lag
+		now += time.Duration(f.rng.ExpFloat64() / s.Rate * float64(time.Second))
+		f.complete(now)
+		for nextReport < now {
+			f.reportLoads()
+			nextReport += s.Lag
 		}
 		f.arrive(now, int(zipf.Uint64()))
 	}
-	return f.summary()
+	return f.summarise()
 }
 
-// newFleet returns a fleet without load.
+// newFleet returns a fleet without requests.
 func newFleet(s Settings) *fleet {
-	f := &fleet{settings: s, random: rand.New(rand.NewPCG(s.Seed, 1))}
-	places := make([][]route.Place, s.Models)
-	index := make(map[string]int)
+	f := &fleet{settings: s, rng: rand.New(rand.NewPCG(s.Seed, 1))}
+	placesByModel := make([][]route.Place, s.Models)
+	targetIndex := make(map[string]int)
 	for i := range s.Targets {
 		t := &target{name: fmt.Sprint("target-", i)}
 		f.targets = append(f.targets, t)
-		index[t.name] = i
-		places[i%s.Models] = append(places[i%s.Models], route.Place{Name: t.name, Domain: fmt.Sprint("fd-", i%7)})
+		targetIndex[t.name] = i
+		placesByModel[i%s.Models] = append(placesByModel[i%s.Models], route.Place{Name: t.name, Domain: fmt.Sprint("fd-", i%7)})
 	}
 	for i := range s.Instances {
-		n := &instance{name: fmt.Sprint("entry-", i), own: make(map[int]int), warm: make(map[[2]int]bool)}
+		inst := &instance{name: fmt.Sprint("entry-", i), inFlight: make(map[int]int), sent: make(map[[2]int]bool)}
 		for m := range s.Models {
 			var watched []int
-			key := fmt.Sprint(n.name, "/model-", m)
-			for _, name := range route.Spread(key, fmt.Sprint("fd-", i%7), places[m], s.Subset) {
-				watched = append(watched, index[name])
+			subsetKey := fmt.Sprint(inst.name, "/model-", m)
+			for _, name := range route.Spread(subsetKey, fmt.Sprint("fd-", i%7), placesByModel[m], s.Subset) {
+				watched = append(watched, targetIndex[name])
 			}
-			n.subset = append(n.subset, watched)
+			inst.subsets = append(inst.subsets, watched)
 		}
-		f.instances = append(f.instances, n)
-		f.names = append(f.names, n.name)
+		f.instances = append(f.instances, inst)
+		f.instanceNames = append(f.instanceNames, inst.name)
 	}
 	return f
 }
 
-// arrive sends a request with a prefix to an instance and on to an engine.
+// arrive routes a request with a prefix to an instance and on to an engine.
 func (f *fleet) arrive(now time.Duration, prefix int) {
-	ranked := route.Rank(fmt.Sprint("prefix-", prefix), f.names)
-	n := f.instances[slices.Index(f.names, ranked[f.random.IntN(f.settings.Affinity)])]
-	watched := n.subset[prefix%f.settings.Models]
+	ranked := route.Rank(fmt.Sprint("prefix-", prefix), f.instanceNames)
+	inst := f.instances[slices.Index(f.instanceNames, ranked[f.rng.IntN(f.settings.Affinity)])]
+	watched := inst.subsets[prefix%f.settings.Models]
 	candidates := make([]route.Candidate, len(watched))
-	for i, at := range watched {
-		candidates[i] = route.Candidate{Name: f.targets[at].name, Slots: f.settings.Slots, Own: n.own[at], Load: f.targets[at].reported}
-		if n.warm[[2]int{at, prefix}] {
+	for i, index := range watched {
+		candidates[i] = route.Candidate{Name: f.targets[index].name, Slots: f.settings.Slots, Own: inst.inFlight[index], Load: f.targets[index].reported}
+		if inst.sent[[2]int{index, prefix}] {
 			candidates[i].Warm = 1
 		}
 	}
-	at := watched[route.Choose(f.choice(), candidates, nil)]
-	t := f.targets[at]
+	chosen := watched[route.Choose(f.choice(), candidates, nil)]
+	t := f.targets[chosen]
 	f.result.Requests++
-	if t.hit(prefix, f.settings.Cached) {
+	if t.useCached(prefix, f.settings.Cached) {
 		f.result.Hits++
 	}
 	if t.running >= f.settings.Slots {
 		f.result.Over++
 	}
 	t.running++
-	n.own[at]++
-	n.warm[[2]int{at, prefix}] = true
-	length := time.Duration(f.random.ExpFloat64() * float64(f.settings.Service))
-	heap.Push(&f.running, finish{at: now + length, target: at, instance: slices.Index(f.names, n.name)})
+	inst.inFlight[chosen]++
+	inst.sent[[2]int{chosen, prefix}] = true
+	duration := time.Duration(f.rng.ExpFloat64() * float64(f.settings.Service))
+	heap.Push(&f.running, completion{at: now + duration, target: chosen, instance: slices.Index(f.instanceNames, inst.name)})
 }
 
-// choice returns the way to choose.
+// choice returns the configured way to choose an engine, with a new random number where it needs one.
 func (f *fleet) choice() route.Choice {
 	switch f.settings.Choice {
 	case "random":
-		return route.Random{Draw: f.random.Uint64()}
+		return route.Random{Draw: f.rng.Uint64()}
 	case "least-loaded":
 		return route.LeastLoaded{}
 	case "scanned":
 		return route.Scanned{}
 	default:
-		return route.Balanced{Draw: f.random.Uint64()}
+		return route.Balanced{Draw: f.rng.Uint64()}
 	}
 }
 
-// finish ends the requests that are over by a time.
-func (f *fleet) finish(now time.Duration) {
+// complete ends the requests that finish by now.
+func (f *fleet) complete(now time.Duration) {
 	for len(f.running) > 0 && f.running[0].at <= now {
-		done, _ := heap.Pop(&f.running).(finish)
-		f.targets[done.target].running--
-		f.instances[done.instance].own[done.target]--
+		ended, _ := heap.Pop(&f.running).(completion)
+		f.targets[ended.target].running--
+		f.instances[ended.instance].inFlight[ended.target]--
 	}
 }
 
-// hit tells whether a prefix is cached, and brings it to the front of the cache.
-func (t *target) hit(prefix, size int) bool {
-	at := slices.Index(t.cache, prefix)
-	if at >= 0 {
-		t.cache = slices.Delete(t.cache, at, at+1)
-	} else if len(t.cache) >= size {
+// useCached reports whether a prefix is cached and makes it the most recently used one. A prefix that was not cached
+// takes the place of the least recently used one when the cache is full.
+func (t *target) useCached(prefix, capacity int) bool {
+	index := slices.Index(t.cache, prefix)
+	if index >= 0 {
+		t.cache = slices.Delete(t.cache, index, index+1)
+	} else if len(t.cache) >= capacity {
 		t.cache = t.cache[1:]
 	}
 	t.cache = append(t.cache, prefix)
-	return at >= 0
+	return index >= 0
 }
 
-// report brings the engines' load to the instances.
-func (f *fleet) report() {
+// reportLoads makes the engines' current load visible to the instances.
+func (f *fleet) reportLoads() {
 	for _, t := range f.targets {
 		t.reported = t.running
-		share := float64(t.running) / float64(f.settings.Slots)
-		t.sum += share
-		f.loads = append(f.loads, share)
+		load := float64(t.running) / float64(f.settings.Slots)
+		t.loadSum += load
+		f.loads = append(f.loads, load)
 	}
 }
 
-// summary works out the result.
-func (f *fleet) summary() Result {
+// summarise computes the result.
+func (f *fleet) summarise() Result {
 	slices.Sort(f.loads)
 	f.result.Peak = f.loads[len(f.loads)*99/100]
-	sum, most := 0.0, 0.0
+	loadSum, highest := 0.0, 0.0
 	for _, t := range f.targets {
-		sum += t.sum
-		most = max(most, t.sum)
+		loadSum += t.loadSum
+		highest = max(highest, t.loadSum)
 	}
-	f.result.Spread = most / (sum / float64(len(f.targets)))
+	f.result.Spread = highest / (loadSum / float64(len(f.targets)))
 	return f.result
 }
