--- a/lab/internal/cmds/bench.go
+++ b/lab/internal/cmds/bench.go
@@ -5,7 +5,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newBench returns the command that measures what losses cost.
+// newBench returns the command that measures resume latency and extra engine work after faults.
 func newBench() *cobra.Command {
 	s := bench.Settings{}
 	c := &cobra.Command{
--- a/lab/internal/cmds/demo.go
+++ b/lab/internal/cmds/demo.go
@@ -5,7 +5,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newDemo returns the command that shows the main job against running processes.
+// newDemo returns the command that runs the demo against running processes.
 func newDemo() *cobra.Command {
 	settings := demo.Settings{}
 	c := &cobra.Command{
--- a/lab/internal/cmds/model.go
+++ b/lab/internal/cmds/model.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newModel returns the command that tries routing decisions on a modelled fleet.
+// newModel returns the command that compares routing decisions on a simulated fleet.
 func newModel() *cobra.Command {
 	s := model.Settings{Models: 6, Slots: 16, Prefixes: 20000, Cached: 128, Lag: 1500 * time.Millisecond, Affinity: 6}
 	c := &cobra.Command{
--- a/lab/internal/cmds/shape_test.go
+++ b/lab/internal/cmds/shape_test.go
@@ -14,29 +14,29 @@
 	"github.com/frankban/quicktest"
 )
 
-// The shape that the users ask for, as far as a machine can check it.
+// The limits on packages that the users require, as far as a test can check them.
 const (
-	repository   = "../../../"
-	longestFile  = 400  // longestFile bounds the lines of one file that is no test.
-	largestPkg   = 1000 // largestPkg bounds the lines of one package without its tests.
-	largestRim   = 1500 // largestRim bounds the lines of the adapter without its tests and stand-ins.
-	shortestName = 4
-	longestName  = 6
+	repositoryRoot   = "../../../"
+	maxFileLines     = 400  // maxFileLines excludes test files.
+	maxPackageLines  = 1000 // maxPackageLines excludes test files.
+	maxPlatformLines = 1500 // maxPlatformLines is for the whole platform folder, without tests and stand-ins.
+	minNameLength    = 4
+	maxNameLength    = 6
 )
 
-// folder is what was counted of one package.
-type folder struct {
-	name    string
-	lines   int
-	hasDoc  bool
-	imports []string
-	longest int
+// packageStats holds what the tests check of one package.
+type packageStats struct {
+	name        string
+	lines       int
+	hasDoc      bool
+	imports     []string
+	longestFile int // longestFile is the number of lines of the longest file that is not a test.
 }
 
-// folders reads all packages of the repository.
-func folders(c *quicktest.C) map[string]*folder {
-	found := make(map[string]*folder)
-	err := filepath.WalkDir(repository, func(path string, d fs.DirEntry, err error) error {
+// readPackages returns the packages of the repository by directory.
+func readPackages(c *quicktest.C) map[string]*packageStats {
+	packages := make(map[string]*packageStats)
+	err := filepath.WalkDir(repositoryRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") {
 			return err
 		}
@@ -49,66 +49,67 @@
 			return err
 		}
 		dir := filepath.Dir(path)
-		f := found[dir]
-		if f == nil {
-			f = &folder{}
-			found[dir] = f
+		stats := packages[dir]
+		if stats == nil {
+			stats = &packageStats{}
+			packages[dir] = stats
 		}
-		f.add(filepath.Base(path), file.Name.Name, strings.Count(string(source), "\n"))
+		stats.add(filepath.Base(path), file.Name.Name, strings.Count(string(source), "\n"))
 		if !strings.HasSuffix(path, "_test.go") {
-			for _, i := range file.Imports {
-				name, _ := strconv.Unquote(i.Path.Value)
-				f.imports = append(f.imports, name)
+			for _, spec := range file.Imports {
+				importPath, _ := strconv.Unquote(spec.Path.Value)
+				stats.imports = append(stats.imports, importPath)
 			}
 		}
 		return nil
 	})
 	c.Assert(err, quicktest.IsNil)
-	return found
+	return packages
 }
 
-// add counts one file.
-func (f *folder) add(base, name string, lines int) {
-	f.name = name
-	f.hasDoc = f.hasDoc || base == "doc.go"
-	if strings.HasSuffix(base, "_test.go") {
+// add adds one file to the counts.
+func (s *packageStats) add(fileName, name string, lines int) {
+	s.name = name
+	s.hasDoc = s.hasDoc || fileName == "doc.go"
+	if strings.HasSuffix(fileName, "_test.go") {
 		return
 	}
-	f.lines += lines
-	f.longest = max(f.longest, lines)
+	s.lines += lines
+	s.longestFile = max(s.longestFile, lines)
 }
 
 func TestShape(t *testing.T) {
 	c := quicktest.New(t)
-	all := folders(c)
-	for dir, f := range all {
+	packages := readPackages(c)
+	for dir, stats := range packages {
 		t.Run(strings.TrimPrefix(dir, "../../../"), func(t *testing.T) {
 			c := quicktest.New(t)
-			c.Check(f.hasDoc, quicktest.IsTrue, quicktest.Commentf("doc.go is missing"))
-			c.Check(f.longest <= longestFile, quicktest.IsTrue, quicktest.Commentf("a file has %d lines", f.longest))
-			c.Check(f.lines <= largestPkg, quicktest.IsTrue, quicktest.Commentf("package has %d lines", f.lines))
-			named := f.name == "main" || len(f.name) >= shortestName && len(f.name) <= longestName
-			c.Check(named, quicktest.IsTrue, quicktest.Commentf("name %s", f.name))
+			c.Check(stats.hasDoc, quicktest.IsTrue, quicktest.Commentf("doc.go is missing"))
+			c.Check(stats.longestFile <= maxFileLines, quicktest.IsTrue, quicktest.Commentf("a file has %d lines", stats.longestFile))
+			c.Check(stats.lines <= maxPackageLines, quicktest.IsTrue, quicktest.Commentf("package has %d lines", stats.lines))
+			nameFits := stats.name == "main" || len(stats.name) >= minNameLength && len(stats.name) <= maxNameLength
+			c.Check(nameFits, quicktest.IsTrue, quicktest.Commentf("name %s", stats.name))
 		})
 	}
 }
 
-// TestAdapterIsSmall checks that the platform's folder only translates.
+// TestAdapterIsSmall limits the size of the platform folder, which only translates the platform's protocol.
 func TestAdapterIsSmall(t *testing.T) {
 	c := quicktest.New(t)
 	lines := 0
-	for dir, f := range folders(c) {
-		if strings.HasPrefix(dir, filepath.Clean(repository+"platform")) && f.name != "stand" {
-			lines += f.lines
+	for dir, stats := range readPackages(c) {
+		if strings.HasPrefix(dir, filepath.Clean(repositoryRoot+"platform")) && stats.name != "stand" {
+			lines += stats.lines
 		}
 	}
-	c.Assert(lines > 0 && lines <= largestRim, quicktest.IsTrue, quicktest.Commentf("the adapter has %d lines", lines))
+	c.Assert(lines > 0 && lines <= maxPlatformLines, quicktest.IsTrue, quicktest.Commentf("the platform folder has %d lines", lines))
 }
 
-// TestDecisionsKnowNoEncoding checks that the deciding packages can serve another front end.
+// TestDecisionsKnowNoEncoding checks that the packages that make decisions import no message encoding, so that another
+// front end can use them.
 func TestDecisionsKnowNoEncoding(t *testing.T) {
-	banned := []string{"net/http", "encoding/json", "encoding/csv", "github.com/fxamacker/cbor/v2", "github.com/tmaxmax/go-sse"}
-	all := folders(quicktest.New(t))
+	encodings := []string{"net/http", "encoding/json", "encoding/csv", "github.com/fxamacker/cbor/v2", "github.com/tmaxmax/go-sse"}
+	packages := readPackages(quicktest.New(t))
 	for name, dir := range map[string]string{
 		"conf": "core/conf", "deny": "core/deny", "fair": "core/fair", "fence": "core/fence", "flow": "core/flow",
 		"limit": "core/limit", "member": "core/member", "route": "core/route",
@@ -117,10 +118,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			f := all[filepath.Clean(repository+dir)]
-			c.Assert(f, quicktest.IsNotNil)
-			for _, i := range f.imports {
-				c.Check(slices.Contains(banned, i), quicktest.IsFalse, quicktest.Commentf("imports %s", i))
+			stats := packages[filepath.Clean(repositoryRoot+dir)]
+			c.Assert(stats, quicktest.IsNotNil)
+			for _, importPath := range stats.imports {
+				c.Check(slices.Contains(encodings, importPath), quicktest.IsFalse, quicktest.Commentf("imports %s", importPath))
 			}
 		})
 	}
--- a/lab/internal/cmds/slopes.go
+++ b/lab/internal/cmds/slopes.go
@@ -11,14 +11,14 @@
 	"github.com/spf13/cobra"
 )
 
-// newSlopes returns the command that measures and fits slopes.
+// newSlopes returns the command that measures resource use at several sizes and fits how it grows.
 func newSlopes() *cobra.Command {
 	c := &cobra.Command{Use: "slopes", Short: "Measure what roles cost at several sizes, and extrapolate"}
 	c.AddCommand(newSlopesFit(), newSlopesMeasure(), newSlopesFleet())
 	return c
 }
 
-// newSlopesFit returns the command that prints the fitted report.
+// newSlopesFit returns the command that fits measured rows and prints the report.
 func newSlopesFit() *cobra.Command {
 	return &cobra.Command{
 		Use:   "fit FILE",
@@ -35,7 +35,7 @@
 	}
 }
 
-// newSlopesFleet returns the command that declares a fleet of the size to design for.
+// newSlopesFleet returns the command that declares the models, organisations and targets of a fleet.
 func newSlopesFleet() *cobra.Command {
 	var platform, token, engine string
 	f := slopes.Fleet{}
--- a/lab/internal/cmds/soak.go
+++ b/lab/internal/cmds/soak.go
@@ -10,13 +10,13 @@
 	"github.com/spf13/cobra"
 )
 
-// errBroken is returned when a promise did not hold.
-var errBroken = errors.New("a promise did not hold")
+// errViolated is returned when a run violated a guarantee.
+var errViolated = errors.New("a promise did not hold")
 
 // newSoak returns the command that runs real processes under random faults.
 func newSoak() *cobra.Command {
 	s := soak.Settings{}
-	var first, count uint64
+	var firstSeed, seedCount uint64
 	var verbose bool
 	c := &cobra.Command{
 		Use:   "soak",
@@ -24,23 +24,23 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			failed := 0
-			for seed := first; seed < first+count; seed++ {
+			for seed := firstSeed; seed < firstSeed+seedCount; seed++ {
 				s.Seed = seed
-				if !soakOnce(c.OutOrStdout(), s, verbose) {
+				if !runSeed(c.OutOrStdout(), s, verbose) {
 					failed++
 				}
 			}
-			_, _ = fmt.Fprintf(c.OutOrStdout(), "%d passed, %d failed\n", count-uint64(failed), failed)
+			_, _ = fmt.Fprintf(c.OutOrStdout(), "%d passed, %d failed\n", seedCount-uint64(failed), failed)
 			if failed > 0 {
-				return errBroken
+				return errViolated
 			}
 			return nil
 		},
 	}
 	flags := c.Flags()
 	flags.StringVar(&s.Program, "program", "bin/platform", "program that is run")
-	flags.Uint64Var(&first, "seed", 1, "first seed")
-	flags.Uint64Var(&count, "seeds", 1, "number of seeds, one after the other")
+	flags.Uint64Var(&firstSeed, "seed", 1, "first seed")
+	flags.Uint64Var(&seedCount, "seeds", 1, "number of seeds, one after the other")
 	flags.DurationVar(&s.Length, "length", 20*time.Second, "length of one run")
 	flags.IntVar(&s.Instances, "instances", 4, "processes")
 	flags.IntVar(&s.Targets, "targets", 9, "stand-ins for targets")
@@ -50,19 +50,19 @@
 	return c
 }
 
-// soakOnce runs one seed and tells whether all promises held.
-func soakOnce(out io.Writer, s soak.Settings, verbose bool) bool {
-	events := io.Discard
+// runSeed runs one seed and reports whether all guarantees held.
+func runSeed(out io.Writer, s soak.Settings, verbose bool) bool {
+	eventLog := io.Discard
 	if verbose {
-		events = out
+		eventLog = out
 	}
-	r, err := soak.Run(s, events)
+	r, err := soak.Run(s, eventLog)
 	if err != nil {
 		r.Broken = append(r.Broken, err.Error())
 	}
 	_, _ = fmt.Fprintf(out, "seed %d: %d requests, %d served, %d events, %d starts, %d broken\n", s.Seed, r.Requests, r.Served, len(r.Plan), r.Starts, len(r.Broken))
-	for _, b := range r.Broken {
-		_, _ = fmt.Fprintf(out, "  %s\n", b)
+	for _, violation := range r.Broken {
+		_, _ = fmt.Fprintf(out, "  %s\n", violation)
 	}
 	return len(r.Broken) == 0
 }
