--- a/lab/internal/demo/demo.go
+++ b/lab/internal/demo/demo.go
@@ -17,107 +17,108 @@
 )
 
 const (
-	longAnswer  = 300              // longAnswer is the length of a long generation, in tokens.
-	killAt      = 100              // killAt is the token at which something dies.
-	readyBound  = 20 * time.Second // readyBound bounds the wait for the instances.
-	demoBound   = 50 * time.Second
-	drillBound  = 2 * time.Minute
-	resumeBound = 3 * time.Second // resumeBound is the users' bound on the time from a loss to the next token.
+	answerTokens = 300 // answerTokens is the length of a long generation.
+	faultAtToken = 100 // faultAtToken is the number of tokens after which a fault is injected.
+	readyTimeout = 20 * time.Second
+	demoTimeout  = 50 * time.Second
+	drillTimeout = 2 * time.Minute
+	maxResumeGap = 3 * time.Second // maxResumeGap is the longest time that the users allow from a fault to the next token.
 )
 
-// ErrBroken is returned when a promise did not hold.
+// ErrBroken is returned when a guarantee did not hold.
 var ErrBroken = errors.New("a promise did not hold")
 
-// Settings names the processes that the demo drives.
+// Settings configures a run of the demo.
 type Settings struct {
-	Entries  []string
-	Engines  []string
-	Services []string
-	Key      string
+	Entries  []string // Entries holds caller-address=admin-address=pid of each instance.
+	Engines  []string // Engines holds address=pid of each engine.
+	Services []string // Services holds the addresses of the plain services.
+	Key      string   // Key is the key of the organisation that calls.
 	Model    string
 	Service  string
 
-	Drill         bool   // Drill adds pauses and an outage of the platform.
+	Drill         bool   // Drill adds pauses of processes and an outage of the platform.
 	Platform      string // Platform is the base URL of the platform stand-in, for its faults.
 	PlatformToken string
 }
 
-// process is one running process.
+// process is a running instance or engine.
 type process struct {
 	address string
 	admin   string
 	pid     int
 }
 
-// work is what an engine reports of the work it did.
-type work struct {
+// engineWork is the work that an engine reports.
+type engineWork struct {
 	Prefilled int `json:"prefilled-tokens"`
 	Decoded   int `json:"decoded-tokens"`
 	Running   int `json:"running"`
 }
 
-// show is one run of the demo.
-type show struct {
-	settings Settings
-	out      io.Writer
-	caller   *caller.Caller
-	entries  []process
-	engines  []process
-	killed   map[string]work
-	broken   int
+// demo is the state of one run.
+type demo struct {
+	settings     Settings
+	out          io.Writer
+	caller       *caller.Caller
+	entries      []process
+	engines      []process
+	workOfKilled map[string]engineWork // workOfKilled maps the address of a killed engine to its last report.
+	violations   int
 }
 
-// Run drives the processes and checks the promises; it returns ErrBroken when one does not hold.
+// Run sends requests to the processes, injects faults and checks the guarantees. It returns ErrBroken when one does not
+// hold.
 func Run(ctx context.Context, s Settings, out io.Writer) error {
-	bound := demoBound
+	timeout := demoTimeout
 	if s.Drill {
-		bound = drillBound
+		timeout = drillTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	d := &show{settings: s, out: out, caller: caller.New(s.Key), killed: make(map[string]work)}
+	d := &demo{settings: s, out: out, caller: caller.New(s.Key), workOfKilled: make(map[string]engineWork)}
 	var err error
-	if d.entries, err = processes(s.Entries, 3); err != nil {
+	if d.entries, err = parseProcesses(s.Entries, 3); err != nil {
 		return err
 	}
-	if d.engines, err = processes(s.Engines, 2); err != nil {
+	if d.engines, err = parseProcesses(s.Engines, 2); err != nil {
 		return err
 	}
-	steps := []func(context.Context) error{d.ready, d.addresses, d.engineDeath, d.order, d.comeBack}
+	steps := []func(context.Context) error{d.waitReady, d.lookUpAddresses, d.killEngine, d.placeOrders, d.resumeElsewhere}
 	if s.Drill {
-		steps = append(steps, d.platformDown, d.enginePaused, d.instancePaused)
+		steps = append(steps, d.takePlatformDown, d.pauseEngine, d.pauseInstance)
 	}
-	steps = append(steps, d.plannedStop)
+	steps = append(steps, d.stopInstance)
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
 		}
 	}
-	if d.broken > 0 {
-		return fmt.Errorf("%d: %w", d.broken, ErrBroken)
+	if d.violations > 0 {
+		return fmt.Errorf("%d: %w", d.violations, ErrBroken)
 	}
 	return nil
 }
 
-// processes parses descriptions of processes, which end in a process id.
-func processes(list []string, fields int) ([]process, error) {
+// parseProcesses parses descriptions of processes: fields separated by =, the address first and the process id last.
+func parseProcesses(descriptions []string, fieldCount int) ([]process, error) {
 	var parsed []process
-	for _, text := range list {
-		parts := strings.Split(text, "=")
-		if len(parts) != fields {
-			return nil, errors.Errorf("%q must have %d parts", text, fields)
+	for _, description := range descriptions {
+		fields := strings.Split(description, "=")
+		if len(fields) != fieldCount {
+			return nil, errors.Errorf("%q must have %d fields separated by =", description, fieldCount)
 		}
-		pid, err := strconv.Atoi(parts[fields-1])
+		pid, err := strconv.Atoi(fields[fieldCount-1])
 		if err != nil {
-			return nil, fmt.Errorf("process id of %q: %w", text, err)
+			return nil, fmt.Errorf("process id of %q: %w", description, err)
 		}
-		parsed = append(parsed, process{address: parts[0], admin: parts[fields-2], pid: pid})
+		parsed = append(parsed, process{address: fields[0], admin: fields[fieldCount-2], pid: pid})
 	}
 	return parsed, nil
 }
 
-// addresses asks an instance which instances to use.
-func (d *show) addresses(ctx context.Context) error {
+// lookUpAddresses asks an instance for the addresses that callers of the model should use.
+func (d *demo) lookUpAddresses(ctx context.Context) error {
 	var answer struct {
 		Addresses []struct {
 			Instance string `json:"instance"`
@@ -125,121 +126,121 @@
 		} `json:"addresses"`
 	}
 	if err := d.caller.Get(ctx, d.entries[0].address, "/v1/addresses?model="+d.settings.Model, &answer); err != nil {
-		return fmt.Errorf("look addresses up: %w", err)
+		return fmt.Errorf("look up addresses: %w", err)
 	}
 	for _, a := range answer.Addresses {
-		d.say("told to use %s at %s", a.Instance, a.Address)
+		d.printLine("told to use %s at %s", a.Instance, a.Address)
 	}
 	return nil
 }
 
-// check writes a line about a promise.
-func (d *show) check(ok bool, promise, format string, args ...any) {
-	word := "held  "
-	if !ok {
-		word = "BROKEN"
-		d.broken++
+// check prints whether a guarantee held.
+func (d *demo) check(held bool, guarantee, format string, args ...any) {
+	verdict := "held  "
+	if !held {
+		verdict = "BROKEN"
+		d.violations++
 	}
-	d.say("%s  %s: %s", word, promise, fmt.Sprintf(format, args...))
+	d.printLine("%s  %s: %s", verdict, guarantee, fmt.Sprintf(format, args...))
 }
 
-// comeBack drops a connection in mid-answer and goes on at another instance.
-func (d *show) comeBack(ctx context.Context) error {
+// resumeElsewhere drops a connection in the middle of an answer and resumes at another instance.
+func (d *demo) resumeElsewhere(ctx context.Context) error {
 	r := d.request(3)
 	var a caller.Answer
-	first, cancel := context.WithCancel(ctx)
-	err := d.caller.Stream(first, d.entries[0].address, r, &a, func() {
-		if len(a.Tokens) == killAt {
+	firstCtx, cancel := context.WithCancel(ctx)
+	err := d.caller.Stream(firstCtx, d.entries[0].address, r, &a, func() {
+		if len(a.Tokens) == faultAtToken {
 			cancel()
 		}
 	})
 	cancel()
 	if err == nil {
-		return errors.New("the dropped stream went on to its end")
+		return errors.New("the stream reached its end although its connection was dropped")
 	}
-	had := len(a.Tokens)
+	received := len(a.Tokens)
 	if err := d.caller.Stream(ctx, d.entries[1].address, r, &a, nil); err != nil {
-		return fmt.Errorf("come back at another instance: %w", err)
+		return fmt.Errorf("resume at another instance: %w", err)
 	}
-	return d.compare(ctx, "a caller that comes back elsewhere goes on after its last event", r, &a, fmt.Sprintf("left after %d tokens", had))
+	return d.checkIdentical(ctx, "a caller that comes back elsewhere goes on after its last event", r, &a, fmt.Sprintf("left after %d tokens", received))
 }
 
-// compare checks an answer against one that nothing disturbed.
-func (d *show) compare(ctx context.Context, promise string, r caller.Request, a *caller.Answer, note string) error {
-	var calm caller.Answer
-	if err := d.caller.Stream(ctx, d.entries[1].address, r, &calm, nil); err != nil {
+// checkIdentical checks that an answer is complete and identical to one that no fault disturbed.
+func (d *demo) checkIdentical(ctx context.Context, guarantee string, r caller.Request, a *caller.Answer, details string) error {
+	var undisturbed caller.Answer
+	if err := d.caller.Stream(ctx, d.entries[1].address, r, &undisturbed, nil); err != nil {
 		return fmt.Errorf("undisturbed answer: %w", err)
 	}
-	same := a.Done && a.Text() == calm.Text() && len(a.Tokens) == r.MaxTokens
-	d.check(same, promise, "%d of %d tokens, %s", len(a.Tokens), r.MaxTokens, note)
+	identical := a.Done && a.Text() == undisturbed.Text() && len(a.Tokens) == r.MaxTokens
+	d.check(identical, guarantee, "%d of %d tokens, %s", len(a.Tokens), r.MaxTokens, details)
 	return nil
 }
 
-// engineDeath kills an engine in the middle of two long generations.
-func (d *show) engineDeath(ctx context.Context) error {
-	before, err := d.work(ctx)
+// killEngine kills an engine in the middle of two long generations.
+func (d *demo) killEngine(ctx context.Context) error {
+	before, err := d.engineWork(ctx)
 	if err != nil {
 		return err
 	}
 	requests := []caller.Request{d.request(1), d.request(2)}
 	answers := make([]caller.Answer, len(requests))
-	failures := make([]error, len(requests))
-	var group sync.WaitGroup
+	errs := make([]error, len(requests))
+	var streams sync.WaitGroup
 	var once sync.Once
 	var killedAt time.Time
 	for i := range requests {
-		group.Go(func() {
-			failures[i] = d.caller.Stream(ctx, d.entries[i].address, requests[i], &answers[i], func() {
-				if i == 0 && len(answers[i].Tokens) == killAt {
+		streams.Go(func() {
+			errs[i] = d.caller.Stream(ctx, d.entries[i].address, requests[i], &answers[i], func() {
+				if i == 0 && len(answers[i].Tokens) == faultAtToken {
 					once.Do(func() { killedAt = d.killBusiest(ctx) })
 				}
 			})
 		})
 	}
-	group.Wait()
-	for _, err := range failures {
+	streams.Wait()
+	for _, err := range errs {
 		if err != nil {
 			return fmt.Errorf("stream: %w", err)
 		}
 	}
-	after, err := d.work(ctx)
+	after, err := d.engineWork(ctx)
 	if err != nil {
 		return err
 	}
-	d.reportDeath(answers, killedAt, before, after)
+	d.reportKill(answers, killedAt, before, after)
 	for i := range requests {
-		if err := d.compare(ctx, fmt.Sprintf("no token is missing or repeated (generation %d)", i+1), requests[i], &answers[i], "an engine died on the way"); err != nil {
+		if err := d.checkIdentical(ctx, fmt.Sprintf("no token is missing or repeated (generation %d)", i+1), requests[i], &answers[i], "an engine died on the way"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// killBusiest ends the engine that runs most, without notice.
-func (d *show) killBusiest(ctx context.Context) time.Time {
-	best, most := 0, -1
+// killBusiest kills the engine with the most running generations, keeps its last report and returns when it did so.
+func (d *demo) killBusiest(ctx context.Context) time.Time {
+	busiest, mostRunning := 0, -1
 	for i, e := range d.engines {
-		var w work
+		var w engineWork
 		if err := d.caller.Get(ctx, e.address, "/v1/load", &w); err != nil {
 			continue
 		}
-		if w.Running > most {
-			best, most = i, w.Running
-			d.killed[d.engines[best].address] = w
+		if w.Running > mostRunning {
+			busiest, mostRunning = i, w.Running
+			d.workOfKilled[d.engines[busiest].address] = w
 		}
 	}
-	for address := range d.killed {
-		if address != d.engines[best].address {
-			delete(d.killed, address)
+	for address := range d.workOfKilled {
+		if address != d.engines[busiest].address {
+			delete(d.workOfKilled, address)
 		}
 	}
-	_ = syscall.Kill(d.engines[best].pid, syscall.SIGKILL)
-	d.say("killed the engine at %s with %d generations running", d.engines[best].address, most)
+	_ = syscall.Kill(d.engines[busiest].pid, syscall.SIGKILL)
+	d.printLine("killed the engine at %s with %d generations running", d.engines[busiest].address, mostRunning)
 	return time.Now()
 }
 
-// order places an order at one instance and repeats it at others.
-func (d *show) order(ctx context.Context) error {
+// placeOrders places an order at one instance, repeats it at the others and places another one with the same key.
+func (d *demo) placeOrders(ctx context.Context) error {
 	key := token.NewID()
 	path := "/v1/services/" + d.settings.Service + "/orders"
 	body := `{"player":"Aoife","number":7}`
@@ -251,28 +252,28 @@
 		}
 		if i == 0 {
 			first = r
-			d.say("order answered %d: %s", r.Status, strings.TrimSpace(r.Body))
+			d.printLine("order answered %d: %s", r.Status, strings.TrimSpace(r.Body))
 		}
 		if r != first {
 			d.check(false, "a repeated order gets the first answer", "instance %d answered %d: %s", i+1, r.Status, r.Body)
 		}
 	}
-	count, err := d.executions(ctx, key)
+	executed, err := d.executions(ctx, key)
 	if err != nil {
 		return err
 	}
-	d.check(count == 1, "a non-idempotent request runs at most once", "sent to %d instances, executed %d time", len(d.entries), count)
-	other, err := d.caller.Order(ctx, d.entries[0].address, path, key, `{"player":"Siobhan"}`)
+	d.check(executed == 1, "a non-idempotent request runs at most once", "sent to %d instances, executed %d time", len(d.entries), executed)
+	conflicting, err := d.caller.Order(ctx, d.entries[0].address, path, key, `{"player":"Siobhan"}`)
 	if err != nil {
 		return fmt.Errorf("order with another body: %w", err)
 	}
-	d.check(other.Status == http.StatusUnprocessableEntity && strings.Contains(other.Body, `"executed":"no"`),
-		"a refusal that says not run is true", "the same key with another body got %d", other.Status)
+	d.check(conflicting.Status == http.StatusUnprocessableEntity && strings.Contains(conflicting.Body, `"executed":"no"`),
+		"a refusal that says not run is true", "the same key with another body got %d", conflicting.Status)
 	return nil
 }
 
-// executions returns how often a key ran at all services.
-func (d *show) executions(ctx context.Context, key string) (int, error) {
+// executions returns how often all services together executed the order with a key.
+func (d *demo) executions(ctx context.Context, key string) (int, error) {
 	count := 0
 	for _, address := range d.settings.Services {
 		executions := make(map[string]int)
@@ -284,88 +285,88 @@
 	return count, nil
 }
 
-// plannedStop stops an instance in the middle of a generation.
-func (d *show) plannedStop(ctx context.Context) error {
+// stopInstance stops an instance with SIGTERM in the middle of a generation.
+func (d *demo) stopInstance(ctx context.Context) error {
 	r := d.request(4)
 	var a caller.Answer
 	stopped := d.entries[2]
 	err := d.caller.Stream(ctx, stopped.address, r, &a, func() {
-		if len(a.Tokens) == killAt {
+		if len(a.Tokens) == faultAtToken {
 			_ = syscall.Kill(stopped.pid, syscall.SIGTERM)
-			d.say("told the instance at %s to stop", stopped.address)
+			d.printLine("told the instance at %s to stop", stopped.address)
 		}
 	})
 	if err != nil {
-		return fmt.Errorf("stream over a planned stop: %w", err)
+		return fmt.Errorf("stream during a planned stop: %w", err)
 	}
-	return d.compare(ctx, "a planned stop cuts no request", r, &a, "the instance was told to stop on the way")
+	return d.checkIdentical(ctx, "a planned stop cuts no request", r, &a, "the instance was told to stop on the way")
 }
 
-// ready waits for the instances to take calls.
-func (d *show) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyBound)
+// waitReady waits until every instance is ready.
+func (d *demo) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, e := range d.entries {
 		for !d.isReady(ctx, e) {
 			select {
 			case <-ctx.Done():
-				return errors.Errorf("instance at %s is not ready after %s", e.address, readyBound)
+				return errors.Errorf("instance at %s is not ready after %s", e.address, readyTimeout)
 			case <-time.After(100 * time.Millisecond):
 			}
 		}
 	}
-	d.say("%d instances are ready", len(d.entries))
+	d.printLine("%d instances are ready", len(d.entries))
 	return nil
 }
 
-// isReady tells whether an instance is ready and can run a short generation.
-func (d *show) isReady(ctx context.Context, e process) bool {
+// isReady reports whether an instance completes a short generation.
+func (d *demo) isReady(ctx context.Context, e process) bool {
 	r := d.request(0)
 	r.MaxTokens = 1
 	var a caller.Answer
 	return d.caller.Stream(ctx, e.address, r, &a, nil) == nil && a.Done
 }
 
-// reportDeath writes what the death of an engine cost.
-func (d *show) reportDeath(answers []caller.Answer, killedAt time.Time, before, after work) {
-	useful, gap := 0, time.Duration(0)
+// reportKill prints the extra engine work and the longest gap that the kill of an engine caused.
+func (d *demo) reportKill(answers []caller.Answer, killedAt time.Time, before, after engineWork) {
+	usefulTokens, longestGap := 0, time.Duration(0)
 	for i := range answers {
-		useful += len(answers[i].Tokens)
-		gap = max(gap, answers[i].LongestGap())
+		usefulTokens += len(answers[i].Tokens)
+		longestGap = max(longestGap, answers[i].LongestGap())
 	}
-	decoded := after.Decoded - before.Decoded
-	d.say("engines decoded %d tokens for %d useful ones: %d extra (%.1f%%); prefilled %d",
-		decoded, useful, decoded-useful, 100*float64(decoded-useful)/float64(useful), after.Prefilled-before.Prefilled)
-	d.check(gap < resumeBound && !killedAt.IsZero(), "output goes on within 3 s of a loss", "longest gap %s", gap.Round(time.Millisecond))
+	decodedTokens := after.Decoded - before.Decoded
+	d.printLine("engines decoded %d tokens for %d useful ones: %d extra (%.1f%%); prefilled %d",
+		decodedTokens, usefulTokens, decodedTokens-usefulTokens, 100*float64(decodedTokens-usefulTokens)/float64(usefulTokens), after.Prefilled-before.Prefilled)
+	d.check(longestGap < maxResumeGap && !killedAt.IsZero(), "output goes on within 3 s of a loss", "longest gap %s", longestGap.Round(time.Millisecond))
 }
 
-// request returns the request of a long generation.
-func (d *show) request(seed uint64) caller.Request {
+// request returns a request for a long generation.
+func (d *demo) request(seed uint64) caller.Request {
 	return caller.Request{
 		Model:     d.settings.Model,
 		Prompt:    "Home kit for Ballyhaunis Rovers: green crest, gold studs, eleven names and numbers as listed",
-		MaxTokens: longAnswer,
+		MaxTokens: answerTokens,
 		Seed:      seed,
 	}
 }
 
-// say writes a line.
-func (d *show) say(format string, args ...any) {
+// printLine prints a formatted line.
+func (d *demo) printLine(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.out, format+"\n", args...)
 }
 
-// work adds up what all engines did, with the last report of those that were killed.
-func (d *show) work(ctx context.Context) (work, error) {
-	var sum work
+// engineWork adds up the work of all engines, using the last report of those that were killed.
+func (d *demo) engineWork(ctx context.Context) (engineWork, error) {
+	var total engineWork
 	for _, e := range d.engines {
-		w, dead := d.killed[e.address]
-		if !dead {
+		w, isKilled := d.workOfKilled[e.address]
+		if !isKilled {
 			if err := d.caller.Get(ctx, e.address, "/v1/load", &w); err != nil {
-				return sum, fmt.Errorf("read work of %s: %w", e.address, err)
+				return total, fmt.Errorf("read work of %s: %w", e.address, err)
 			}
 		}
-		sum.Decoded += w.Decoded
-		sum.Prefilled += w.Prefilled
+		total.Decoded += w.Decoded
+		total.Prefilled += w.Prefilled
 	}
-	return sum, nil
+	return total, nil
 }
--- a/lab/internal/demo/doc.go
+++ b/lab/internal/demo/doc.go
@@ -1,4 +1,5 @@
-// Package demo shows the main job to a person: two long generations, an
-// order, the death of an engine, a caller that comes back elsewhere and a
-// planned stop, with a line for each promise checked.
+// Package demo runs the main use cases against running processes: two long
+// generations, the kill of an engine, an order, a caller that resumes at
+// another instance and a planned stop. It prints a line for each guarantee
+// that it checks.
 package demo
