--- a/lab/internal/slopes/doc.go
+++ b/lab/internal/slopes/doc.go
@@ -1,3 +1,3 @@
-// Package slopes measures what a role costs at several sizes, fits the slope
-// and extrapolates to the size to design for.
+// Package slopes measures the resource use of instances at several sizes, fits
+// how it grows and extrapolates it to the size that the system is designed for.
 package slopes
--- a/lab/internal/slopes/fleet.go
+++ b/lab/internal/slopes/fleet.go
@@ -11,7 +11,7 @@
 	"bramleywharf.example/core/store"
 )
 
-// Fleet is a configuration of a size.
+// Fleet is a configuration with the given numbers of models, targets and organisations.
 type Fleet struct {
 	Models        int
 	Targets       int
@@ -19,17 +19,17 @@
 	Engine        string // Engine is the address that all targets share.
 }
 
-// Key returns the key of a numbered organisation.
+// Key returns the key of an organisation by its number.
 func Key(number int) string {
 	return fmt.Sprintf("key-%d", number)
 }
 
-// ModelName returns the name of a numbered model.
+// ModelName returns the name of a model by its number.
 func ModelName(number int) string {
 	return fmt.Sprintf("model-%d", number)
 }
 
-// Declare stores the configuration in a platform.
+// Declare stores the configuration in the platform.
 func (f Fleet) Declare(ctx context.Context, s store.Store) error {
 	var models []string
 	for i := range f.Models {
@@ -61,11 +61,11 @@
 
 // put stores one object.
 func put(ctx context.Context, s store.Store, kind, name string, value conf.Value) error {
-	raw, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("encode %s/%s: %w", kind, name, err)
 	}
-	if _, err := s.Put(ctx, store.Object{Kind: kind, Name: name, Value: raw}); err != nil {
+	if _, err := s.Put(ctx, store.Object{Kind: kind, Name: name, Value: encoded}); err != nil {
 		return fmt.Errorf("store %s/%s: %w", kind, name, err)
 	}
 	return nil
--- a/lab/internal/slopes/row.go
+++ b/lab/internal/slopes/row.go
@@ -18,11 +18,11 @@
 // Row is one measurement at one size.
 type Row struct {
 	Series string             `json:"series"` // Series names what is varied: instances, organisations or tokens.
-	Size   float64            `json:"size"`
+	Size   float64            `json:"size"`   // Size is the number of instances, organisations or streams.
 	Values map[string]float64 `json:"values"`
 }
 
-// The metrics that rows are computed from.
+// The names of the metrics that rows are computed from.
 const (
 	metricCPU      = "process_cpu_seconds_total"
 	metricMemory   = "process_resident_memory_bytes"
@@ -37,13 +37,13 @@
 	metricRunning  = "bramleywharf_generations_running"
 )
 
-// Settings says what to measure.
+// Settings configures one measurement.
 type Settings struct {
 	Series   string
 	Size     float64
-	Admins   []string
-	Callers  []string
-	For      time.Duration
+	Admins   []string      // Admins holds the admin addresses of the instances to measure.
+	Callers  []string      // Callers holds the caller addresses of the instances to load.
+	For      time.Duration // For is the duration of the measurement.
 	Platform store.Store
 	Keys     []string // Keys holds a key for each organisation that calls.
 	Streams  int      // Streams is the number of long generations at once.
@@ -51,13 +51,13 @@
 	Model    string
 }
 
-// Measure measures one row.
+// Measure puts load on the instances and measures one row.
 func Measure(ctx context.Context, s Settings) (Row, error) {
-	loading, stop := context.WithCancel(ctx)
-	defer stop()
-	var group sync.WaitGroup
-	var refused atomic.Int64
-	load(loading, s, &group, &refused)
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	var callers sync.WaitGroup
+	var failures atomic.Int64
+	startLoad(loadCtx, s, &callers, &failures)
 	if s.Streams > 0 || s.Starts > 0 {
 		wait.For(ctx, s.For/2)
 	}
@@ -65,13 +65,13 @@
 	if err != nil {
 		return Row{}, err
 	}
-	began := time.Now()
+	start := time.Now()
 	wait.For(ctx, s.For)
 	after, err := scrapeAll(ctx, s.Admins)
 	if err != nil {
 		return Row{}, err
 	}
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(start).Seconds()
 	rate := func(name string) float64 { return (mean(after, name) - mean(before, name)) / seconds }
 	row := Row{Series: s.Series, Size: s.Size, Values: map[string]float64{
 		"cpu-share":            rate(metricCPU),
@@ -84,17 +84,17 @@
 		"tokens-per-s":         rate(metricTokens),
 		"peer-connections":     mean(after, metricConns),
 		"running":              mean(after, metricRunning),
-		"refused":              float64(refused.Load()),
+		"refused":              float64(failures.Load()),
 	}}
 	if s.Series == "instances" {
-		spread, err := propagation(ctx, s)
+		delay, err := propagationDelay(ctx, s)
 		if err != nil {
 			return Row{}, err
 		}
-		row.Values["in-force-s"] = spread.Seconds()
+		row.Values["in-force-s"] = delay.Seconds()
 	}
-	stop()
-	group.Wait()
+	stopLoad()
+	callers.Wait()
 	return row, nil
 }
 
@@ -108,15 +108,15 @@
 	return err
 }
 
-// load runs the callers of a measurement until the context ends.
-func load(ctx context.Context, s Settings, group *sync.WaitGroup, refused *atomic.Int64) {
+// startLoad starts the callers of a measurement, which run until the context ends.
+func startLoad(ctx context.Context, s Settings, callers *sync.WaitGroup, failures *atomic.Int64) {
 	for i := range s.Streams {
-		group.Go(func() {
+		callers.Go(func() {
 			c := caller.New(s.Keys[i%len(s.Keys)])
 			for ctx.Err() == nil {
 				var a caller.Answer
 				err := c.Stream(ctx, s.Callers[0], caller.Request{Model: s.Model, Prompt: "kit brief", MaxTokens: 100_000, Seed: uint64(i)}, &a, nil)
-				note(ctx, err, refused)
+				countFailure(ctx, err, failures)
 			}
 		})
 	}
@@ -124,46 +124,47 @@
 		return
 	}
 	for i, key := range s.Keys {
-		group.Go(func() {
+		callers.Go(func() {
 			c := caller.New(key)
-			tick := time.NewTicker(time.Duration(float64(time.Second) / s.Starts))
-			defer tick.Stop()
-			for n := 0; ctx.Err() == nil; n++ {
+			ticker := time.NewTicker(time.Duration(float64(time.Second) / s.Starts))
+			defer ticker.Stop()
+			for count := 0; ctx.Err() == nil; count++ {
 				var a caller.Answer
-				at := s.Callers[(i+n%2)%len(s.Callers)]
-				err := c.Stream(ctx, at, caller.Request{Model: s.Model, Prompt: "kit brief", MaxTokens: 1, Seed: uint64(n)}, &a, nil)
-				note(ctx, err, refused)
+				address := s.Callers[(i+count%2)%len(s.Callers)]
+				err := c.Stream(ctx, address, caller.Request{Model: s.Model, Prompt: "kit brief", MaxTokens: 1, Seed: uint64(count)}, &a, nil)
+				countFailure(ctx, err, failures)
 				select {
 				case <-ctx.Done():
-				case <-tick.C:
+				case <-ticker.C:
 				}
 			}
 		})
 	}
 }
 
-// note counts a failure that the end of the measurement did not cause, and waits a little after it.
-func note(ctx context.Context, err error, refused *atomic.Int64) {
+// countFailure counts an error that the end of the measurement did not cause, and waits before the next request.
+func countFailure(ctx context.Context, err error, failures *atomic.Int64) {
 	if err != nil && ctx.Err() == nil {
-		refused.Add(1)
+		failures.Add(1)
 		wait.For(ctx, 100*time.Millisecond)
 	}
 }
 
-// propagation returns the time from the platform's answer to a change until the last instance has it in force.
-func propagation(ctx context.Context, s Settings) (time.Duration, error) {
-	var worst time.Duration
+// propagationDelay changes the configuration 5 times and returns the longest time from the platform's answer until all
+// instances have applied the change.
+func propagationDelay(ctx context.Context, s Settings) (time.Duration, error) {
+	var longest time.Duration
 	for range 5 {
 		raw := []byte(`{"key-hash":"` + fmt.Sprintf("%064x", time.Now().UnixNano()) + `"}`)
-		o := store.Object{Kind: conf.KindOrganisation, Name: "changed", Value: raw, WriteID: token.NewID()}
-		if old, err := s.Platform.Get(ctx, o.Kind, o.Name); err == nil {
-			o.Revision = old.Revision
+		object := store.Object{Kind: conf.KindOrganisation, Name: "changed", Value: raw, WriteID: token.NewID()}
+		if stored, err := s.Platform.Get(ctx, object.Kind, object.Name); err == nil {
+			object.Revision = stored.Revision
 		}
-		revision, err := s.Platform.Put(ctx, o)
+		revision, err := s.Platform.Put(ctx, object)
 		if err != nil {
 			return 0, fmt.Errorf("change the configuration: %w", err)
 		}
-		began := time.Now()
+		start := time.Now()
 		for {
 			samples, err := scrapeAll(ctx, s.Admins)
 			if err != nil {
@@ -174,12 +175,12 @@
 			}
 			wait.For(ctx, 5*time.Millisecond)
 		}
-		worst = max(worst, time.Since(began))
+		longest = max(longest, time.Since(start))
 	}
-	return worst, nil
+	return longest, nil
 }
 
-// lowest returns the lowest value of a metric.
+// lowest returns the lowest value of a metric among the instances.
 func lowest(samples []sample, name string) float64 {
 	least := samples[0][name]
 	for _, s := range samples {
--- a/lab/internal/slopes/scrape.go
+++ b/lab/internal/slopes/scrape.go
@@ -12,7 +12,6 @@
 	"github.com/prometheus/common/model"
 )
 
-// scrapeTimeout bounds the reading of one instance's metrics.
 const scrapeTimeout = 5 * time.Second
 
 // sample holds the metrics of one instance by name, summed over labels.
@@ -45,16 +44,16 @@
 	return s, nil
 }
 
-// scrapeAll reads the metrics of all instances at once.
+// scrapeAll reads the metrics of all instances in parallel.
 func scrapeAll(ctx context.Context, admins []string) ([]sample, error) {
 	samples := make([]sample, len(admins))
-	faults := make([]error, len(admins))
+	errs := make([]error, len(admins))
 	var group sync.WaitGroup
 	for i, admin := range admins {
-		group.Go(func() { samples[i], faults[i] = scrape(ctx, admin) })
+		group.Go(func() { samples[i], errs[i] = scrape(ctx, admin) })
 	}
 	group.Wait()
-	for _, err := range faults {
+	for _, err := range errs {
 		if err != nil {
 			return nil, err
 		}
@@ -65,7 +64,7 @@
 	return samples, nil
 }
 
-// mean returns the mean of a metric.
+// mean returns the mean of a metric over the instances.
 func mean(samples []sample, name string) float64 {
 	sum := 0.0
 	for _, s := range samples {
