--- a/lab/internal/bench/bench.go
+++ b/lab/internal/bench/bench.go
@@ -19,42 +19,42 @@
 )
 
 const (
-	answerTokens = 300              // answerTokens is the length of a generation.
-	breakAt      = 100              // breakAt is the token of the first stream at which something breaks.
-	patience     = 2 * time.Second  // patience is how long a caller hears nothing before it connects elsewhere.
-	recovery     = 4 * time.Second  // recovery is the time for killed processes to be back and ready.
-	highest      = 60 * 1000 * 1000 // highest is the longest gap that is told apart, in microseconds.
-	figures      = 3                // figures is the precision of the histograms.
-	roundBound   = 60 * time.Second
+	answerTokens    = 300              // answerTokens is the length of each generation.
+	faultAtToken    = 100              // faultAtToken is the number of tokens in the first stream before the fault.
+	callerTimeout   = 2 * time.Second  // callerTimeout is the silence after which a caller connects to another instance.
+	restartTime     = 4 * time.Second  // restartTime is how long killed processes take to be restarted and ready.
+	histogramMax    = 60 * 1000 * 1000 // histogramMax is the highest value that the histograms record, in microseconds.
+	histogramDigits = 3                // histogramDigits is the number of significant digits of recorded values.
+	roundTimeout    = 60 * time.Second
 )
 
-// Settings says what to measure against.
+// Settings configures a run.
 type Settings struct {
 	Entries  []string // Entries holds caller-address=pid-file of each instance.
 	Engines  []string // Engines holds address=pid-file of each engine.
-	Policies []string // Policies holds policy=key of an organisation that has it.
+	Policies []string // Policies holds policy=key; the key is that of an organisation with this recovery policy.
 	Model    string
 	Rounds   int
 	Streams  int
 }
 
-// Fault is the sealed set of losses: EngineKill, InstanceKill, SilentConnection and BothKill.
+// Fault is the sealed set of injected faults: EngineKill, InstanceKill, SilentConnection and BothKill.
 type Fault interface {
 	isFault()
-	// Name is the name in the report.
+	// Name returns the name in the report.
 	Name() string
 }
 
-// EngineKill ends the busiest engine.
+// EngineKill kills the busiest engine.
 type EngineKill struct{}
 
-// InstanceKill ends the instance of the streams.
+// InstanceKill kills the instance that the streams connect to.
 type InstanceKill struct{}
 
-// SilentConnection makes all connections of the busiest engine silent.
+// SilentConnection makes the busiest engine stop sending on all open connections.
 type SilentConnection struct{}
 
-// BothKill ends the instance and the busiest engine at once.
+// BothKill kills the instance and the busiest engine at once.
 type BothKill struct{}
 
 func (EngineKill) isFault()       {}
@@ -62,69 +62,69 @@
 func (SilentConnection) isFault() {}
 func (BothKill) isFault()         {}
 
-// Name is the name in the report.
+// Name returns the name in the report.
 func (EngineKill) Name() string { return "engine killed" }
 
-// Name is the name in the report.
+// Name returns the name in the report.
 func (InstanceKill) Name() string { return "instance killed" }
 
-// Name is the name in the report.
+// Name returns the name in the report.
 func (SilentConnection) Name() string { return "connections silent" }
 
-// Name is the name in the report.
+// Name returns the name in the report.
 func (BothKill) Name() string { return "engine and instance killed" }
 
-// process is a process that is started again when it dies.
+// process is an instance or engine that the calling script restarts when it ends.
 type process struct {
 	address string
 	pidFile string
 }
 
-// work is what an engine reports of its work.
-type work struct {
+// engineWork is the work that an engine reports.
+type engineWork struct {
 	Prefilled int `json:"prefilled-tokens"`
 	Decoded   int `json:"decoded-tokens"`
 	Running   int `json:"running"`
 }
 
-// result gathers the rounds of one policy under one fault.
+// result accumulates the rounds of one policy under one fault. The histograms are in microseconds.
 type result struct {
-	gaps      *hdrhistogram.Histogram // gaps holds the longest gap of each disturbed stream, in microseconds.
-	first     *hdrhistogram.Histogram
-	between   *hdrhistogram.Histogram
-	useful    int
-	decoded   int
-	prefilled int
-	calm      int // calm counts the tokens that the prompts alone would have cost to read.
-	wrong     int
-	refused   int
+	longestGaps       *hdrhistogram.Histogram // longestGaps holds the longest gap of each stream.
+	timeToFirstToken  *hdrhistogram.Histogram
+	timeBetweenTokens *hdrhistogram.Histogram
+	usefulTokens      int
+	decodedTokens     int
+	prefilledTokens   int
+	promptTokens      int // promptTokens counts the prefill that the prompts need without a fault.
+	wrong             int // wrong counts streams without a complete answer.
+	refused           int
 }
 
-// bench is one run.
+// bench is the state of one run.
 type bench struct {
 	settings Settings
 	out      io.Writer
 	entries  []process
 	engines  []process
-	seed     uint64
+	seed     uint64 // seed is that of the last generation; each one has another.
 }
 
-// Run measures every policy under every fault and prints the table.
+// Run measures generations without a fault, then every policy under every fault, and prints a table of each.
 func Run(ctx context.Context, s Settings, out io.Writer) error {
 	if len(s.Policies) == 0 {
 		return errors.New("no policies to measure")
 	}
 	b := &bench{settings: s, out: out}
 	var err error
-	if b.entries, err = processes(s.Entries); err != nil {
+	if b.entries, err = parseProcesses(s.Entries); err != nil {
 		return err
 	}
-	if b.engines, err = processes(s.Engines); err != nil {
+	if b.engines, err = parseProcesses(s.Engines); err != nil {
 		return err
 	}
 	_, firstKey, _ := strings.Cut(s.Policies[0], "=")
-	if err := b.calm(ctx, firstKey); err != nil {
-		return fmt.Errorf("undisturbed: %w", err)
+	if err := b.measureUndisturbed(ctx, firstKey); err != nil {
+		return fmt.Errorf("measure without a fault: %w", err)
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "\nFAULT\tPOLICY\tSTREAMS\tRESUME p50\tp95\tp99\tMAX\tEXTRA DECODE\tEXTRA PREFILL\tFIRST TOKEN p95\tBETWEEN p95\tREFUSED\tWRONG")
@@ -144,52 +144,52 @@
 	return w.Flush()
 }
 
-// processes parses descriptions of processes.
-func processes(list []string) ([]process, error) {
+// parseProcesses parses descriptions of the form address=pid-file.
+func parseProcesses(descriptions []string) ([]process, error) {
 	var parsed []process
-	for _, text := range list {
-		address, pidFile, ok := strings.Cut(text, "=")
+	for _, description := range descriptions {
+		address, pidFile, ok := strings.Cut(description, "=")
 		if !ok {
-			return nil, errors.Errorf("%q must be address=pid-file", text)
+			return nil, errors.Errorf("%q must be address=pid-file", description)
 		}
 		parsed = append(parsed, process{address: address, pidFile: pidFile})
 	}
 	return parsed, nil
 }
 
-// kill ends a process without notice.
+// kill sends SIGKILL to the process.
 func (p process) kill() error {
-	text, err := os.ReadFile(p.pidFile)
+	content, err := os.ReadFile(p.pidFile)
 	if err != nil {
 		return fmt.Errorf("read process id: %w", err)
 	}
-	pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
+	pid, err := strconv.Atoi(strings.TrimSpace(string(content)))
 	if err != nil {
 		return fmt.Errorf("process id in %s: %w", p.pidFile, err)
 	}
 	return syscall.Kill(pid, syscall.SIGKILL)
 }
 
-// load reads what an engine reports.
-func (p process) load(ctx context.Context) (work, error) {
-	var w work
+// readWork reads the work that an engine reports.
+func (p process) readWork(ctx context.Context) (engineWork, error) {
+	var w engineWork
 	err := caller.New("").Get(ctx, p.address, "/v1/load", &w)
 	return w, err
 }
 
-// busiest returns the engine that runs most.
+// busiest returns the engine with the most running generations.
 func (b *bench) busiest(ctx context.Context) process {
-	best, most := b.engines[0], -1
+	busiestEngine, mostRunning := b.engines[0], -1
 	for _, e := range b.engines {
-		if w, err := e.load(ctx); err == nil && w.Running > most {
-			best, most = e, w.Running
+		if w, err := e.readWork(ctx); err == nil && w.Running > mostRunning {
+			busiestEngine, mostRunning = e, w.Running
 		}
 	}
-	return best
+	return busiestEngine
 }
 
-// inject causes a fault and returns the engine that it killed, if any, with its last report.
-func (b *bench) inject(ctx context.Context, f Fault) (killed string, last work) {
+// inject injects a fault and returns the address and the last report of the engine that it killed, if any.
+func (b *bench) inject(ctx context.Context, f Fault) (killedAddress string, lastWork engineWork) {
 	switch f.(type) {
 	case EngineKill:
 		return b.killEngine(ctx)
@@ -201,91 +201,92 @@
 	case SilentConnection:
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.busiest(ctx).address+"/v1/silence", nil)
 		if err != nil {
-			return "", work{}
+			return "", engineWork{}
 		}
 		if response, err := http.DefaultClient.Do(request); err == nil {
 			_ = response.Body.Close()
 		}
 	}
-	return "", work{}
+	return "", engineWork{}
 }
 
-// killEngine ends the busiest engine and returns its last report.
-func (b *bench) killEngine(ctx context.Context) (string, work) {
+// killEngine kills the busiest engine and returns its address and its last report.
+func (b *bench) killEngine(ctx context.Context) (string, engineWork) {
 	e := b.busiest(ctx)
-	last, _ := e.load(ctx)
+	lastWork, _ := e.readWork(ctx)
 	_ = e.kill()
-	return e.address, last
+	return e.address, lastWork
 }
 
 // measure runs the rounds of one policy under one fault.
 func (b *bench) measure(ctx context.Context, f Fault, key string) (*result, error) {
 	r := &result{
-		gaps:    hdrhistogram.New(1, highest, figures),
-		first:   hdrhistogram.New(1, highest, figures),
-		between: hdrhistogram.New(1, highest, figures),
+		longestGaps:       hdrhistogram.New(1, histogramMax, histogramDigits),
+		timeToFirstToken:  hdrhistogram.New(1, histogramMax, histogramDigits),
+		timeBetweenTokens: hdrhistogram.New(1, histogramMax, histogramDigits),
 	}
 	for range b.settings.Rounds {
-		if err := b.round(ctx, f, key, r); err != nil {
+		if err := b.runRound(ctx, f, key, r); err != nil {
 			return nil, err
 		}
-		time.Sleep(recovery)
+		time.Sleep(restartTime)
 	}
 	return r, nil
 }
 
-// round runs streams, breaks something in their midst and adds up what it cost.
-func (b *bench) round(ctx context.Context, f Fault, key string, r *result) error {
-	ctx, cancel := context.WithTimeout(ctx, roundBound)
+// runRound runs the streams of a round, injects a fault while they run and adds the streams and the engines' work to
+// the result. The counters of a killed engine start from 0 again.
+func (b *bench) runRound(ctx context.Context, f Fault, key string, r *result) error {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	before, err := b.loads(ctx)
+	before, err := b.readAllWork(ctx)
 	if err != nil {
 		return err
 	}
-	var group sync.WaitGroup
+	var running sync.WaitGroup
 	var once sync.Once
-	var killed string
-	var last work
+	var killedAddress string
+	var lastWork engineWork
 	streams := make([]*stream, b.settings.Streams)
 	for i := range streams {
 		b.seed++
 		streams[i] = newStream(b, key, b.seed)
-		group.Go(func() {
+		running.Go(func() {
 			streams[i].run(ctx, func(count int) {
-				if i == 0 && count == breakAt {
-					once.Do(func() { killed, last = b.inject(ctx, f) })
+				if i == 0 && count == faultAtToken {
+					once.Do(func() { killedAddress, lastWork = b.inject(ctx, f) })
 				}
 			})
 		})
 	}
-	group.Wait()
-	time.Sleep(recovery / 2)
-	after, err := b.loads(ctx)
+	running.Wait()
+	time.Sleep(restartTime / 2)
+	after, err := b.readAllWork(ctx)
 	if err != nil {
 		return err
 	}
 	for address, w := range after {
-		was := before[address]
-		if address == killed {
-			r.add(work{Decoded: last.Decoded - was.Decoded, Prefilled: last.Prefilled - was.Prefilled})
-			was = work{}
+		base := before[address]
+		if address == killedAddress {
+			r.addWork(engineWork{Decoded: lastWork.Decoded - base.Decoded, Prefilled: lastWork.Prefilled - base.Prefilled})
+			base = engineWork{}
 		}
-		r.add(work{Decoded: w.Decoded - was.Decoded, Prefilled: w.Prefilled - was.Prefilled})
+		r.addWork(engineWork{Decoded: w.Decoded - base.Decoded, Prefilled: w.Prefilled - base.Prefilled})
 	}
 	for _, s := range streams {
-		r.take(s)
+		r.addStream(s)
 	}
 	return nil
 }
 
-// loads reads all engines, waiting for those that are being started again.
-func (b *bench) loads(ctx context.Context) (map[string]work, error) {
-	loads := make(map[string]work)
+// readAllWork reads the work of all engines, waiting for those that are being restarted.
+func (b *bench) readAllWork(ctx context.Context) (map[string]engineWork, error) {
+	workByAddress := make(map[string]engineWork)
 	for _, e := range b.engines {
 		for {
-			w, err := e.load(ctx)
+			w, err := e.readWork(ctx)
 			if err == nil {
-				loads[e.address] = w
+				workByAddress[e.address] = w
 				break
 			}
 			if ctx.Err() != nil {
@@ -294,5 +295,5 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return loads, nil
+	return workByAddress, nil
 }
--- a/lab/internal/bench/doc.go
+++ b/lab/internal/bench/doc.go
@@ -1,4 +1,4 @@
-// Package bench measures what a loss costs: the time until tokens flow again
-// and the engine work spent on it, for each recovery policy beside the plain
-// restart, in one run against real processes.
+// Package bench measures the effects of faults on generations: the time until
+// the next token arrives and the extra work of the engines. One run against
+// real processes compares the recovery policies with a plain restart.
 package bench
