--- a/lab/internal/soak/plan.go
+++ b/lab/internal/soak/plan.go
@@ -9,58 +9,58 @@
 	"bramleywharf.example/platform/stand"
 )
 
-// The bounds of the pauses and lengths of faults.
+// When the faults of a plan start and how long they last.
 const (
-	firstFault  = 500 * time.Millisecond
-	shortest    = 300 * time.Millisecond
-	longest     = 4 * time.Second
-	meanPause   = 700 * time.Millisecond // meanPause is the mean time between two faults, shorter than most last, so that they overlap.
-	quietBefore = 4 * time.Second        // quietBefore is the time without new faults before the end, in which everything has to come back.
+	firstFaultAt      = 500 * time.Millisecond
+	minFaultLength    = 300 * time.Millisecond
+	maxFaultLength    = 4 * time.Second
+	meanFaultInterval = 700 * time.Millisecond // meanFaultInterval is shorter than most faults last, so that they overlap.
+	recoveryPeriod    = 4 * time.Second        // recoveryPeriod is the time without new faults at the end, for recovery.
 )
 
-// Fault is the sealed set of what a plan does: Signal, StoreFault, LinkFault, Conduct, Revoke, Replace and Restart.
+// Fault is the sealed set of the faults of a plan: Signal, StoreFault, LinkFault, Conduct, Revoke, Replace and Restart.
 type Fault interface {
 	isFault()
 }
 
-// Signal is what is done to a process.
+// Signal is a signal to the process of an instance.
 type Signal string
 
 // The signals of a plan.
 const (
 	Kill   Signal = "kill"
-	Stop   Signal = "stop" // Stop is a planned stop.
+	Stop   Signal = "stop" // Stop is a planned stop with SIGTERM.
 	Pause  Signal = "pause"
 	Hangup Signal = "hangup"
 )
 
-// StoreFault is how the store treats one instance, or all.
+// StoreFault makes the store fail for one instance, or for all.
 type StoreFault struct {
 	Fault  stand.Fault
 	All    bool
-	Deafen bool // Deafen leaves watches unanswered and drops the history in the end.
+	Deafen bool // Deafen leaves watches unanswered; the history of changes is dropped when the fault ends.
 }
 
-// LinkFault is what happens on the link to a target or to the store.
+// LinkFault disturbs the connections to a target, or those of an instance to the store.
 type LinkFault struct {
 	Mode  Mode
 	Store bool
 }
 
-// Conduct is how a target answers for a while.
+// Conduct makes a target misbehave in the named way; behaviourOf lists the names.
 type Conduct struct {
 	Name string
 }
 
-// Revoke brings a configuration with another key into force.
+// Revoke stores a configuration with another key.
 type Revoke struct{}
 
-// Replace ends a target; another one starts under a new name.
+// Replace removes a target after starting another one under a new name.
 type Replace struct {
-	Notice bool // Notice tells that the target says that it leaves before.
+	Notice bool // Notice declares the target as draining for a while before it is removed.
 }
 
-// Restart starts a target again under a new name at its address; the store learns of it late.
+// Restart restarts a target under a new name at its address; its entry in the store is updated when the fault ends.
 type Restart struct{}
 
 func (Signal) isFault()     {}
@@ -71,7 +71,8 @@
 func (Replace) isFault()    {}
 func (Restart) isFault()    {}
 
-// Event is a fault at a time, for a length, at the thing with a number.
+// Event is a fault that starts at a time and lasts for a length. Thing selects the instance, proxy or target, modulo
+// their number.
 type Event struct {
 	At     time.Duration
 	Length time.Duration
@@ -84,9 +85,9 @@
 	return fmt.Sprintf("%.1fs %T%+v at %d for %.1fs", e.At.Seconds(), e.Fault, e.Fault, e.Thing, e.Length.Seconds())
 }
 
-// Plan returns the events of a seed for a run of a length.
+// Plan returns the events of a seed for a run of a length; a seed always gives the same events.
 func Plan(seed uint64, length time.Duration) []Event {
-	r := rand.New(rand.NewPCG(seed, seed))
+	rng := rand.New(rand.NewPCG(seed, seed))
 	faults := []Fault{
 		Kill, Stop, Pause, Hangup, Kill, Stop,
 		StoreFault{Fault: stand.Silent}, StoreFault{Fault: stand.Busy}, StoreFault{Fault: stand.Lossy}, StoreFault{Fault: stand.Silent, All: true}, StoreFault{Deafen: true},
@@ -95,12 +96,12 @@
 		Revoke{}, Replace{}, Replace{Notice: true}, Restart{}, Restart{},
 	}
 	var events []Event
-	for at := firstFault; at < length-quietBefore; at += time.Duration(r.ExpFloat64() * float64(meanPause)) {
+	for at := firstFaultAt; at < length-recoveryPeriod; at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval)) {
 		events = append(events, Event{
 			At:     at,
-			Length: min(shortest+time.Duration(r.Int64N(int64(longest-shortest))), length-quietBefore-at+shortest),
-			Thing:  r.IntN(1 << 16),
-			Fault:  faults[r.IntN(len(faults))],
+			Length: min(minFaultLength+time.Duration(rng.Int64N(int64(maxFaultLength-minFaultLength))), length-recoveryPeriod-at+minFaultLength),
+			Thing:  rng.IntN(1 << 16),
+			Fault:  faults[rng.IntN(len(faults))],
 		})
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
--- a/lab/internal/soak/process.go
+++ b/lab/internal/soak/process.go
@@ -10,106 +10,107 @@
 	"time"
 )
 
-// restartPause is the time between the end of a process and its next start.
-const restartPause = 200 * time.Millisecond
+// restartDelay is the time from the exit of a process to its next start.
+const restartDelay = 200 * time.Millisecond
 
-// process is one instance, started again whenever it ends.
+// process is one instance, which is restarted whenever it exits.
 type process struct {
-	name, ip, program, file, log string
+	name, ip, program, settingsFile, logFile string
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	ended   bool
-	starts  int
-	strange []string      // strange lists ends that nobody asked for.
-	asked   bool          // asked tells that the running process was told to end.
-	done    chan struct{} // done closes when the last process has ended.
+	mu              sync.Mutex
+	command         *exec.Cmd
+	stopped         bool // stopped tells that the process must not be restarted.
+	startCount      int
+	unexpectedExits []string      // unexpectedExits lists exits that no signal caused, and failed restarts.
+	exitRequested   bool          // exitRequested tells that the running process was sent a signal that ends it.
+	done            chan struct{} // done is closed when the last process has exited.
 }
 
-// start starts the process.
+// start starts the process and a goroutine that restarts it.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logWriter, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("open log: %w", err)
 	}
-	c := exec.Command(p.program, "serve", "--settings-file", p.file)
-	c.Stdout, c.Stderr = out, out
-	if err := c.Start(); err != nil {
+	cmd := exec.Command(p.program, "serve", "--settings-file", p.settingsFile)
+	cmd.Stdout, cmd.Stderr = logWriter, logWriter
+	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.name, err)
 	}
-	p.command, p.asked = c, false
-	p.starts++
-	go p.watch(c, out)
+	p.command, p.exitRequested = cmd, false
+	p.startCount++
+	go p.restartOnExit(cmd, logWriter)
 	return nil
 }
 
-// watch starts the process again when it has ended.
-func (p *process) watch(c *exec.Cmd, out *os.File) {
-	err := c.Wait()
-	_ = out.Close()
+// restartOnExit waits until the process exits and starts it again, unless it was stopped.
+func (p *process) restartOnExit(cmd *exec.Cmd, logWriter *os.File) {
+	err := cmd.Wait()
+	_ = logWriter.Close()
 	p.mu.Lock()
-	if !p.asked {
-		p.strange = append(p.strange, fmt.Sprint(err))
+	if !p.exitRequested {
+		p.unexpectedExits = append(p.unexpectedExits, fmt.Sprint(err))
 	}
-	ended := p.ended
+	stopped := p.stopped
 	p.mu.Unlock()
-	if ended {
+	if stopped {
 		close(p.done)
 		return
 	}
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	if err := p.start(); err != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.strange = append(p.strange, err.Error())
+		p.unexpectedExits = append(p.unexpectedExits, err.Error())
 		close(p.done)
 	}
 }
 
-// send sends a signal to the running process, by its id.
-func (p *process) send(s syscall.Signal, ends bool) {
+// sendSignal sends a signal to the running process; endsProcess tells that the signal is to end it.
+func (p *process) sendSignal(s syscall.Signal, endsProcess bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = p.asked || ends
-	_ = p.command.Process.Signal(s) // A process that has just ended needs no signal.
+	p.exitRequested = p.exitRequested || endsProcess
+	_ = p.command.Process.Signal(s) // A process that has just exited needs no signal.
 }
 
-// signal does to the process what an event says.
-func (p *process) signal(ctx context.Context, s Signal, length time.Duration) {
+// applySignal applies a signal of a plan to the process; a pause lasts for the given length.
+func (p *process) applySignal(ctx context.Context, s Signal, length time.Duration) {
 	switch s {
 	case Kill:
-		p.send(syscall.SIGKILL, true)
+		p.sendSignal(syscall.SIGKILL, true)
 	case Stop:
 		p.mu.Lock()
 		command := p.command
 		p.mu.Unlock()
-		p.send(syscall.SIGTERM, true)
-		time.AfterFunc(graceTime*time.Second, func() { _ = command.Process.Kill() })
+		p.sendSignal(syscall.SIGTERM, true)
+		time.AfterFunc(graceSeconds*time.Second, func() { _ = command.Process.Kill() })
 	case Pause:
-		p.send(syscall.SIGSTOP, false)
+		p.sendSignal(syscall.SIGSTOP, false)
 		select {
 		case <-ctx.Done():
 		case <-time.After(length):
 		}
-		p.send(syscall.SIGCONT, false)
+		p.sendSignal(syscall.SIGCONT, false)
 	case Hangup:
-		p.send(syscall.SIGHUP, false)
+		p.sendSignal(syscall.SIGHUP, false)
 	}
 }
 
-// end ends the process for good and waits until it has ended, so that the next run finds its addresses free.
-func (p *process) end() {
+// shutDown kills the process without a restart and waits until it has exited, so that the next run can use its
+// addresses.
+func (p *process) shutDown() {
 	p.mu.Lock()
-	p.ended = true
+	p.stopped = true
 	p.mu.Unlock()
 	for {
-		p.send(syscall.SIGKILL, true)
+		p.sendSignal(syscall.SIGKILL, true)
 		select {
 		case <-p.done:
 			return
-		case <-time.After(restartPause):
+		case <-time.After(restartDelay):
 		}
 	}
 }
--- a/lab/internal/soak/proxy.go
+++ b/lab/internal/soak/proxy.go
@@ -9,51 +9,51 @@
 	"time"
 )
 
-// Mode is what a proxy does to the connections that pass it.
+// Mode is how a proxy treats the connections through it.
 type Mode int32
 
 // The modes of a proxy.
 const (
 	Clear    Mode = iota
-	Slow          // Slow delays what passes.
-	Cut           // Cut resets connections, old and new.
-	Mute          // Mute lets nothing pass and says nothing.
-	MuteBack      // MuteBack lets nothing pass on the way back.
+	Slow          // Slow delays the data.
+	Cut           // Cut resets open and new connections.
+	Mute          // Mute holds back the data of both directions and leaves the connections open.
+	MuteBack      // MuteBack holds back the data from the server only.
 )
 
 const (
-	proxyDelay  = 60 * time.Millisecond
-	proxyBuffer = 4 << 10
-	muteLook    = 20 * time.Millisecond // muteLook is the time between two looks at whether a mute link speaks again.
+	slowDelay        = 60 * time.Millisecond
+	bufferSize       = 4 << 10
+	mutePollInterval = 20 * time.Millisecond // mutePollInterval is how often a muted connection checks the mode.
 )
 
-// Proxy passes TCP connections on to an address.
+// Proxy forwards TCP connections to an address.
 type Proxy struct {
 	listener net.Listener
-	target   atomic.Pointer[string]
+	upstream atomic.Pointer[string]
 	mode     atomic.Int32
 	done     chan struct{}
 
 	mu    sync.Mutex
-	conns map[net.Conn]bool
+	conns map[net.Conn]bool // conns holds the open connections to clients and to the server.
 }
 
-// NewProxy starts a proxy before an address.
-func NewProxy(target string) (*Proxy, error) {
+// NewProxy starts a proxy in front of an address.
+func NewProxy(upstream string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("listen for a proxy: %w", err)
 	}
 	p := &Proxy{listener: listener, done: make(chan struct{}), conns: make(map[net.Conn]bool)}
-	p.target.Store(&target)
+	p.upstream.Store(&upstream)
 	go func() {
 		defer close(p.done)
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go p.pass(c)
+			go p.forward(conn)
 		}
 	}()
 	return p, nil
@@ -64,23 +64,23 @@
 	return p.listener.Addr().String()
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	p.reset()
+	p.resetAll()
 	<-p.done
 }
 
-// Set changes the mode.
+// Set changes the mode, for open and new connections.
 func (p *Proxy) Set(m Mode) {
 	p.mode.Store(int32(m))
 	if m == Cut {
-		p.reset()
+		p.resetAll()
 	}
 }
 
-// reset resets all connections.
-func (p *Proxy) reset() {
+// resetAll resets all connections.
+func (p *Proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -91,60 +91,60 @@
 	}
 }
 
-// pass carries one connection in both directions.
-func (p *Proxy) pass(near net.Conn) {
-	defer p.hold(near)()
+// forward forwards a client's connection to the server, in both directions.
+func (p *Proxy) forward(client net.Conn) {
+	defer p.track(client)()
 	if Mode(p.mode.Load()) == Cut {
-		_ = near.(*net.TCPConn).SetLinger(0)
+		_ = client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	far, err := net.Dial("tcp", *p.target.Load())
+	server, err := net.Dial("tcp", *p.upstream.Load())
 	if err != nil {
 		return
 	}
-	defer p.hold(far)()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, false) })
-	both.Go(func() { p.copy(near, far, true) })
-	both.Wait()
+	defer p.track(server)()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forwardOneWay(server, client, false) })
+	directions.Go(func() { p.forwardOneWay(client, server, true) })
+	directions.Wait()
 }
 
-// copy carries one direction.
-func (p *Proxy) copy(to, from net.Conn, back bool) {
-	buffer := make([]byte, proxyBuffer)
+// forwardOneWay forwards one direction as the mode says and passes on how the connection ends.
+func (p *Proxy) forwardOneWay(dst, src net.Conn, fromServer bool) {
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(buffer)
-		for m := Mode(p.mode.Load()); m == Mute || m == MuteBack && back; m = Mode(p.mode.Load()) {
-			time.Sleep(muteLook)
+		n, err := src.Read(buffer)
+		for m := Mode(p.mode.Load()); m == Mute || m == MuteBack && fromServer; m = Mode(p.mode.Load()) {
+			time.Sleep(mutePollInterval)
 		}
 		if Mode(p.mode.Load()) == Slow {
-			time.Sleep(proxyDelay)
+			time.Sleep(slowDelay)
 		}
-		if _, werr := to.Write(buffer[:n]); werr != nil {
-			_ = from.Close()
+		if _, writeErr := dst.Write(buffer[:n]); writeErr != nil {
+			_ = src.Close()
 			return
 		}
 		if err == io.EOF {
-			_ = to.(*net.TCPConn).CloseWrite()
+			_ = dst.(*net.TCPConn).CloseWrite()
 			return
 		}
 		if err != nil {
-			_ = to.(*net.TCPConn).SetLinger(0)
-			_ = to.Close()
+			_ = dst.(*net.TCPConn).SetLinger(0)
+			_ = dst.Close()
 			return
 		}
 	}
 }
 
-// hold keeps a connection among those that can be reset until release is called.
-func (p *Proxy) hold(c net.Conn) (release func()) {
+// track adds a connection to those that resetAll resets; release closes and removes it.
+func (p *Proxy) track(conn net.Conn) (release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conns[c] = true
+	p.conns[conn] = true
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.conns, c)
-		_ = c.Close()
+		delete(p.conns, conn)
+		_ = conn.Close()
 	}
 }
--- a/lab/internal/soak/soak.go
+++ b/lab/internal/soak/soak.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	startBound   = 15 * time.Second // startBound bounds the wait for instances to become ready.
-	recoverBound = 12 * time.Second // recoverBound is the users' time after which requests have to be served again.
-	revokeBound  = 5 * time.Second  // revokeBound is the users' 2 s for a configuration and a margin for a busy machine, counted from the end of the faults.
+	startTimeout    = 15 * time.Second // startTimeout is for all instances to become ready.
+	recoveryTimeout = 12 * time.Second // recoveryTimeout is the longest time that the users allow until recovery.
+	// configDelay is the 2 s that the users allow until a configuration is applied, and a margin for a busy machine. It is
+	// counted from the end of the faults.
+	configDelay = 5 * time.Second
 )
 
 // Settings configures a run.
@@ -23,117 +25,118 @@
 	Instances int
 	Targets   int
 	Callers   int
-	Network   int // Network numbers the loopback addresses, so that runs can stand beside each other.
+	Network   int // Network is the third byte of the loopback addresses; runs at the same time need different ones.
 }
 
-// Result is what came of a run.
+// Result holds the counts of a run and the guarantees that it violated.
 type Result struct {
 	Plan     []Event
 	Requests int
 	Served   int
-	Starts   int
-	Broken   []string // Broken lists the promises that did not hold.
+	Starts   int      // Starts counts the starts of instances, restarts included.
+	Broken   []string // Broken describes each violation of a guarantee.
 }
 
-// Run runs the plan of a seed.
-func Run(s Settings, log io.Writer) (Result, error) {
-	w, err := newWorld(s)
+// Run runs the plan of a seed under the load of callers, writes each event to a log and checks the guarantees.
+func Run(s Settings, eventLog io.Writer) (Result, error) {
+	b, err := newTestbed(s)
 	if err != nil {
 		return Result{}, err
 	}
-	defer w.close()
+	defer b.close()
 	result := Result{Plan: Plan(s.Seed, s.Length)}
-	if !w.ready(startBound) {
-		return result, fmt.Errorf("instances were not ready after %s; logs are in %s", startBound, w.dir)
+	if !b.waitReady(startTimeout) {
+		return result, fmt.Errorf("instances were not ready after %s; logs are in %s", startTimeout, b.dir)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.Length)
 	defer cancel()
 	answers := make(chan answer, 64)
 	var callers, faults sync.WaitGroup
 	for i := range s.Callers {
-		callers.Go(func() { w.call(ctx, i, answers) })
+		callers.Go(func() { b.runCaller(ctx, i, answers) })
 	}
 	for _, e := range result.Plan {
 		faults.Go(func() {
 			time.Sleep(e.At)
-			_, _ = fmt.Fprintln(log, e)
-			w.apply(ctx, e)
+			_, _ = fmt.Fprintln(eventLog, e)
+			b.apply(ctx, e)
 		})
 	}
 	go func() {
 		callers.Wait()
 		close(answers)
 	}()
-	var taken []answer
+	var received []answer
 	for a := range answers {
-		taken = append(taken, a)
+		received = append(received, a)
 	}
 	faults.Wait()
-	for _, a := range taken {
+	for _, a := range received {
 		result.Requests++
-		if a.status == 200 && !a.broken {
+		if a.status == 200 && !a.incomplete {
 			result.Served++
 		}
-		if wrong := check(a, w.ledger.Runs(a.id)); wrong != "" {
-			result.Broken = append(result.Broken, fmt.Sprintf("%s %s: %s", a.route, a.id, wrong))
+		if violation := checkAnswer(a, b.ledger.Runs(a.id)); violation != "" {
+			result.Broken = append(result.Broken, fmt.Sprintf("%s %s: %s", a.route, a.id, violation))
 		}
 	}
-	result.Broken = append(result.Broken, w.settle()...)
-	for _, h := range w.hosts {
-		h.mu.Lock()
-		result.Starts += h.starts
-		for _, end := range h.strange {
-			result.Broken = append(result.Broken, fmt.Sprintf("%s ended by itself: %s", h.name, end))
+	result.Broken = append(result.Broken, b.checkRecovery()...)
+	for _, instance := range b.instances {
+		instance.mu.Lock()
+		result.Starts += instance.startCount
+		for _, exit := range instance.unexpectedExits {
+			result.Broken = append(result.Broken, fmt.Sprintf("%s ended by itself: %s", instance.name, exit))
 		}
-		h.mu.Unlock()
+		instance.mu.Unlock()
 	}
 	return result, nil
 }
 
-// ready waits until every instance says that it is ready.
-func (w *world) ready(bound time.Duration) bool {
+// waitReady waits until every instance is ready and reports whether that was within the timeout.
+func (b *testbed) waitReady(timeout time.Duration) bool {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		ready := 0
-		for _, h := range w.hosts {
-			answer, err := client.Get(fmt.Sprintf("http://%s:%d/", h.ip, readyPort))
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		readyCount := 0
+		for _, instance := range b.instances {
+			response, err := client.Get(fmt.Sprintf("http://%s:%d/", instance.ip, readyPort))
 			if err != nil {
 				continue
 			}
-			_ = answer.Body.Close()
-			if answer.StatusCode == http.StatusOK {
-				ready++
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
+				readyCount++
 			}
 		}
-		if ready == len(w.hosts) {
+		if readyCount == len(b.instances) {
 			return true
 		}
 	}
 	return false
 }
 
-// settle checks what has to hold once all faults are over: every instance serves, and a key that is taken away is refused by all in time.
-func (w *world) settle() []string {
-	var wrong []string
-	if !w.ready(recoverBound) {
-		wrong = append(wrong, fmt.Sprintf("not every instance is ready %s after the last fault", recoverBound))
+// checkRecovery returns the violations after the end of all faults: every instance must be ready, serve requests and
+// accept a new key in time.
+func (b *testbed) checkRecovery() []string {
+	var violations []string
+	if !b.waitReady(recoveryTimeout) {
+		violations = append(violations, fmt.Sprintf("not every instance is ready %s after the last fault", recoveryTimeout))
 	}
 	client := &http.Client{Timeout: callerDeadline, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, h := range w.hosts {
+	for _, instance := range b.instances {
 		served := false
-		for end := time.Now().Add(recoverBound); !served && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			served = w.request(client, h, "stream", fmt.Sprint("after-", time.Now().UnixNano())).status == http.StatusOK
+		for deadline := time.Now().Add(recoveryTimeout); !served && time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+			served = b.sendRequest(client, instance, "stream", fmt.Sprint("after-", time.Now().UnixNano())).status == http.StatusOK
 		}
 		if !served {
-			wrong = append(wrong, h.name+" serves nothing after the last fault")
+			violations = append(violations, instance.name+" serves nothing after the last fault")
 		}
 	}
-	w.configure()
-	time.Sleep(revokeBound)
-	for _, h := range w.hosts {
-		if a := w.request(client, h, "again", fmt.Sprint("new-", time.Now().UnixNano())); a.status == http.StatusUnauthorized {
-			wrong = append(wrong, h.name+" does not know the newest key")
+	b.configure()
+	time.Sleep(configDelay)
+	for _, instance := range b.instances {
+		if a := b.sendRequest(client, instance, "again", fmt.Sprint("new-", time.Now().UnixNano())); a.status == http.StatusUnauthorized {
+			violations = append(violations, instance.name+" does not know the newest key")
 		}
 	}
-	return wrong
+	return violations
 }
--- a/lab/internal/soak/soak_test.go
+++ b/lab/internal/soak/soak_test.go
@@ -13,12 +13,12 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestCheck checks that each broken promise is seen.
+// TestCheck checks that each violation of a guarantee is found, and that valid answers have none.
 func TestCheck(t *testing.T) {
 	run := func(a answer) stand.Run {
 		return stand.Run{ID: a.id, Path: a.path, Body: a.id, Tenant: stand.Tenant}
 	}
-	stream := func(first, last int) string {
+	streamBody := func(first, last int) string {
 		var b strings.Builder
 		for i := first; i <= last; i++ {
 			_, _ = fmt.Fprintf(&b, "id: %d\ndata: /stream/x piece %d\n\n", i, i)
@@ -26,9 +26,9 @@
 		return b.String()
 	}
 	cases := map[string]struct {
-		answer answer
-		runs   int
-		wrong  bool
+		answer   answer
+		runs     int
+		violated bool
 	}{
 		"once":                 {answer{id: "x", route: "once", path: "/once/x", status: 200, signed: true, body: "answer to x"}, 1, false},
 		"once-twice":           {answer{id: "x", route: "once", path: "/once/x", status: 200, signed: true, body: "answer to x"}, 2, true},
@@ -37,13 +37,13 @@
 		"unknown-and-ran":      {answer{id: "x", route: "once", path: "/once/x", status: 502}, 1, false},
 		"again-twice":          {answer{id: "x", route: "again", path: "/again/x", status: 200, signed: true, body: "answer to x"}, 2, false},
 		"again-thrice":         {answer{id: "x", route: "again", path: "/again/x", status: 200, signed: true, body: "answer to x"}, 3, true},
-		"answer-of-another":    {answer{id: "x", route: "again", path: "/again/x", status: 200, signed: true, body: "answer to y"}, 1, true},
+		"answer-of-another-id": {answer{id: "x", route: "again", path: "/again/x", status: 200, signed: true, body: "answer to y"}, 1, true},
 		"unsigned":             {answer{id: "x", route: "again", path: "/again/x", status: 200, body: "answer to x"}, 1, true},
-		"stream":               {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: stream(1, eventCount)}, 1, false},
-		"stream-cut":           {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: stream(1, 9), broken: true}, 1, false},
-		"stream-looks-whole":   {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: stream(1, 9)}, 1, true},
-		"stream-lacks-a-piece": {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: stream(1, 9) + stream(11, eventCount)}, 1, true},
-		"stream-repeats":       {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: stream(1, 9) + stream(9, eventCount)}, 1, true},
+		"stream":               {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: streamBody(1, eventsPerStream)}, 1, false},
+		"stream-cut":           {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: streamBody(1, 9), incomplete: true}, 1, false},
+		"stream-ends-early":    {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: streamBody(1, 9)}, 1, true},
+		"stream-lacks-event":   {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: streamBody(1, 9) + streamBody(11, eventsPerStream)}, 1, true},
+		"stream-repeats":       {answer{id: "x", route: "stream", path: "/stream/x", status: 200, signed: true, body: streamBody(1, 9) + streamBody(9, eventsPerStream)}, 1, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,18 +51,18 @@
 			for range test.runs {
 				runs = append(runs, run(test.answer))
 			}
-			quicktest.Assert(t, check(test.answer, runs) != "", quicktest.Equals, test.wrong)
+			quicktest.Assert(t, checkAnswer(test.answer, runs) != "", quicktest.Equals, test.violated)
 		})
 	}
 }
 
-// TestPlan checks that a seed always gives the same plan.
+// TestPlan checks that a seed always gives the same plan, with a useful number of events.
 func TestPlan(t *testing.T) {
 	quicktest.Assert(t, Plan(7, time.Minute), quicktest.DeepEquals, Plan(7, time.Minute))
 	quicktest.Assert(t, len(Plan(7, time.Minute)) > 20, quicktest.IsTrue)
 }
 
-// TestSoak runs real processes for a short while; seeds that ever failed are kept here with their cause.
+// TestSoak runs real processes under two short plans. A seed that fails is kept here with its cause.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
--- a/lab/internal/soak/world.go
+++ b/lab/internal/soak/world.go
@@ -15,90 +15,90 @@
 )
 
 const (
-	callerPort = 18080
-	readyPort  = 18081
-	lookupPort = 18082
-	peerPort   = 17340
-	zones      = 3
-	eventPace  = 15 * time.Millisecond
-	graceTime  = 4 // graceTime is the time between SIGTERM and SIGKILL, in seconds.
+	callerPort    = 18080
+	readyPort     = 18081
+	lookupPort    = 18082
+	peerPort      = 17340
+	zoneCount     = 3
+	eventInterval = 15 * time.Millisecond
+	graceSeconds  = 4 // graceSeconds is the time from SIGTERM to SIGKILL.
 )
 
-// world holds the stand-ins, the proxies and the processes of a run.
-type world struct {
-	settings Settings
-	dir      string
-	store    *stand.Store
-	ledger   *stand.Ledger
-	doors    []*Proxy
-	hosts    []*process
+// testbed holds the stand-ins, the proxies and the instances of a run.
+type testbed struct {
+	settings     Settings
+	dir          string
+	store        *stand.Store
+	ledger       *stand.Ledger
+	storeProxies []*Proxy // storeProxies holds the proxy between each instance and the store.
+	instances    []*process
 
-	mu      sync.Mutex
-	targets []*target
-	number  int
-	version int
-	revoked time.Time
+	mu               sync.Mutex
+	targets          []*target
+	lastTargetNumber int
+	configVersion    int
+	keyStoredAt      time.Time
 }
 
-// target is a stand-in with the proxy before it.
+// target is a stand-in with the proxy in front of it.
 type target struct {
 	*stand.Target
 	proxy   *Proxy
 	service string
 }
 
-// newWorld starts stand-ins and processes.
-func newWorld(s Settings) (*world, error) {
-	w := &world{settings: s, store: stand.NewStore(), ledger: stand.NewLedger()}
+// newTestbed starts the stand-ins and the instances.
+func newTestbed(s Settings) (*testbed, error) {
+	b := &testbed{settings: s, store: stand.NewStore(), ledger: stand.NewLedger()}
 	var err error
-	if w.dir, err = os.MkdirTemp("", "soak"); err != nil {
-		return nil, fmt.Errorf("make a directory for settings: %w", err)
+	if b.dir, err = os.MkdirTemp("", "soak"); err != nil {
+		return nil, fmt.Errorf("create a directory for settings and logs: %w", err)
 	}
-	w.configure()
+	b.configure()
 	for i := range s.Targets {
-		if err := w.addTarget([]string{"plain", "engine", "engine"}[i%3]); err != nil {
+		if err := b.addTarget([]string{"plain", "engine", "engine"}[i%3]); err != nil {
 			return nil, err
 		}
 	}
 	for i := range s.Instances {
-		if err := w.addHost(i); err != nil {
+		if err := b.addInstance(i); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return b, nil
 }
 
-// addHost starts an instance with a way to the store of its own.
-func (w *world) addHost(i int) error {
+// addInstance starts an instance with its own listener and proxy of the store, so that faults can affect it alone.
+func (b *testbed) addInstance(i int) error {
 	name := fmt.Sprintf("soak-%d", i)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("listen for the store: %w", err)
 	}
-	go func() { _ = http.Serve(listener, w.store.Door(name)) }()
-	door, err := NewProxy(listener.Addr().String())
+	go func() { _ = http.Serve(listener, b.store.Door(name)) }()
+	proxy, err := NewProxy(listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	w.doors = append(w.doors, door)
-	p := &process{done: make(chan struct{}), name: name, ip: fmt.Sprintf("127.0.%d.%d", w.settings.Network, i+1), program: w.settings.Program, file: filepath.Join(w.dir, name+".toml"), log: filepath.Join(w.dir, name+".log")}
+	b.storeProxies = append(b.storeProxies, proxy)
+	instance := &process{done: make(chan struct{}), name: name, ip: fmt.Sprintf("127.0.%d.%d", b.settings.Network, i+1), program: b.settings.Program, settingsFile: filepath.Join(b.dir, name+".toml"), logFile: filepath.Join(b.dir, name+".log")}
 	machine := stand.Machine{
-		Name: name, IP: p.ip, Zone: fmt.Sprintf("z%d", i%zones), Store: door.Address(), GraceSeconds: graceTime,
+		Name: name, IP: instance.ip, Zone: fmt.Sprintf("z%d", i%zoneCount), Store: proxy.Address(), GraceSeconds: graceSeconds,
 		CallerPort: callerPort, ReadyPort: readyPort, LookupPort: lookupPort, PeerPort: peerPort,
 	}
-	if err := os.WriteFile(p.file, []byte(machine.Settings()), 0o600); err != nil {
+	if err := os.WriteFile(instance.settingsFile, []byte(machine.Settings()), 0o600); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
-	w.hosts = append(w.hosts, p)
-	return p.start()
+	b.instances = append(b.instances, instance)
+	return instance.start()
 }
 
-// addTarget starts a target and declares it.
-func (w *world) addTarget(service string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.number++
-	t, err := stand.NewTarget(fmt.Sprintf("%s-%d", service, w.number), w.ledger, conduct(service, ""))
+// addTarget starts a target with a proxy and stores its entry.
+func (b *testbed) addTarget(service string) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastTargetNumber++
+	t, err := stand.NewTarget(fmt.Sprintf("%s-%d", service, b.lastTargetNumber), b.ledger, behaviourOf(service, ""))
 	if err != nil {
 		return err
 	}
@@ -107,154 +107,155 @@
 		return err
 	}
 	t.Address = proxy.Address()
-	w.targets = append(w.targets, &target{Target: t, proxy: proxy, service: service})
-	w.store.Declare(t, service, fmt.Sprintf("z%d", w.number%zones), false)
+	b.targets = append(b.targets, &target{Target: t, proxy: proxy, service: service})
+	b.store.Declare(t, service, fmt.Sprintf("z%d", b.lastTargetNumber%zoneCount), false)
 	return nil
 }
 
-// close ends processes, by their ids, and stand-ins.
-func (w *world) close() {
-	for _, h := range w.hosts {
-		h.end()
+// close kills the instances, each by its process id, and stops the stand-ins and proxies.
+func (b *testbed) close() {
+	for _, instance := range b.instances {
+		instance.shutDown()
 	}
-	for _, t := range w.targets {
+	for _, t := range b.targets {
 		t.Close()
 		t.proxy.Close()
 	}
-	for _, d := range w.doors {
-		d.Close()
+	for _, storeProxy := range b.storeProxies {
+		storeProxy.Close()
 	}
 }
 
-// configure writes the next version, whose only key carries its number.
-func (w *world) configure() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.store.Configure(w.version, fmt.Sprint("key-", w.version))
-	w.revoked = time.Now()
+// configure stores the next version of the configuration, whose only key carries the version number.
+func (b *testbed) configure() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.configVersion++
+	b.store.Configure(b.configVersion, fmt.Sprint("key-", b.configVersion))
+	b.keyStoredAt = time.Now()
 }
 
-// key returns the key in force and when it came into force at the store.
-func (w *world) key() (string, time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return fmt.Sprint("key-", w.version), w.revoked
+// key returns the current key and when it was stored.
+func (b *testbed) key() (string, time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return fmt.Sprint("key-", b.configVersion), b.keyStoredAt
 }
 
-// apply does what an event says and undoes it after its length.
-func (w *world) apply(ctx context.Context, e Event) {
-	heal := func() {}
+// apply injects the fault of an event and reverts it after the event's length.
+func (b *testbed) apply(ctx context.Context, e Event) {
+	revert := func() {}
 	switch f := e.Fault.(type) {
 	case Signal:
-		w.hosts[e.Thing%len(w.hosts)].signal(ctx, f, e.Length)
+		b.instances[e.Thing%len(b.instances)].applySignal(ctx, f, e.Length)
 		return
 	case StoreFault:
-		heal = w.failStore(f, w.hosts[e.Thing%len(w.hosts)].name)
+		revert = b.injectStoreFault(f, b.instances[e.Thing%len(b.instances)].name)
 	case LinkFault:
-		proxy := w.doors[e.Thing%len(w.doors)]
-		if t := w.pick(e.Thing); !f.Store && t != nil {
+		proxy := b.storeProxies[e.Thing%len(b.storeProxies)]
+		if t := b.targetAt(e.Thing); !f.Store && t != nil {
 			proxy = t.proxy
 		}
 		proxy.Set(f.Mode)
-		heal = func() { proxy.Set(Clear) }
+		revert = func() { proxy.Set(Clear) }
 	case Conduct:
-		t := w.pick(e.Thing)
-		t.Behave(conduct(t.service, f.Name))
-		heal = func() { t.Behave(conduct(t.service, "")) }
+		t := b.targetAt(e.Thing)
+		t.Behave(behaviourOf(t.service, f.Name))
+		revert = func() { t.Behave(behaviourOf(t.service, "")) }
 	case Revoke:
-		w.configure()
+		b.configure()
 	case Replace:
-		w.replace(ctx, e.Thing, f.Notice)
+		b.replaceTarget(ctx, e.Thing, f.Notice)
 	case Restart:
-		heal = w.restart(e.Thing)
+		revert = b.restartTarget(e.Thing)
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(e.Length):
 	}
-	heal()
+	revert()
 }
 
-// failStore fails the store for one instance or all, and returns what mends it.
-func (w *world) failStore(f StoreFault, door string) (heal func()) {
+// injectStoreFault makes the store fail for one instance or all, and returns the function that ends the fault.
+func (b *testbed) injectStoreFault(f StoreFault, instance string) (revert func()) {
 	if f.Deafen {
-		w.store.Deafen(true)
+		b.store.Deafen(true)
 		return func() {
-			w.store.Forget()
-			w.store.Deafen(false)
+			b.store.Forget()
+			b.store.Deafen(false)
 		}
 	}
 	if f.All {
-		door = ""
+		instance = ""
 	}
-	w.store.Fail(door, f.Fault)
-	return func() { w.store.Fail(door, stand.Sound) }
+	b.store.Fail(instance, f.Fault)
+	return func() { b.store.Fail(instance, stand.Sound) }
 }
 
-// pick returns a target by a number.
-func (w *world) pick(number int) *target {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.targets[number%len(w.targets)]
+// targetAt returns the target that a number selects, modulo the number of targets.
+func (b *testbed) targetAt(number int) *target {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.targets[number%len(b.targets)]
 }
 
-// replace ends a target and starts another of its service.
-func (w *world) replace(ctx context.Context, number int, notice bool) {
-	t := w.pick(number)
-	if err := w.addTarget(t.service); err != nil {
+// replaceTarget starts another target of the same service and removes the selected one.
+func (b *testbed) replaceTarget(ctx context.Context, number int, notice bool) {
+	t := b.targetAt(number)
+	if err := b.addTarget(t.service); err != nil {
 		return
 	}
-	w.mu.Lock()
-	for i := range w.targets {
-		if w.targets[i] == t {
-			w.targets = append(w.targets[:i:i], w.targets[i+1:]...)
+	b.mu.Lock()
+	for i := range b.targets {
+		if b.targets[i] == t {
+			b.targets = append(b.targets[:i:i], b.targets[i+1:]...)
 			break
 		}
 	}
-	w.mu.Unlock()
+	b.mu.Unlock()
 	if notice {
-		w.store.Declare(t.Target, t.service, "z0", true)
+		b.store.Declare(t.Target, t.service, "z0", true)
 		select {
 		case <-ctx.Done():
-		case <-time.After(longest):
+		case <-time.After(maxFaultLength):
 		}
 	}
 	t.Close()
 	t.proxy.Close()
-	w.store.Forsake(t.Target)
+	b.store.Forsake(t.Target)
 }
 
-// restart starts a target again under a new name at its address, and returns what tells the store.
-func (w *world) restart(number int) (heal func()) {
-	t := w.pick(number)
-	w.mu.Lock()
-	w.number++
-	next := fmt.Sprintf("%s-%d", t.service, w.number)
-	zone := fmt.Sprintf("z%d", w.number%zones)
-	w.mu.Unlock()
-	old := t.Name()
-	t.Restart(next)
+// restartTarget gives a target a new name at its address and resets its connections, as a restart does. It returns the
+// function that updates the store.
+func (b *testbed) restartTarget(number int) (updateStore func()) {
+	t := b.targetAt(number)
+	b.mu.Lock()
+	b.lastTargetNumber++
+	newName := fmt.Sprintf("%s-%d", t.service, b.lastTargetNumber)
+	zone := fmt.Sprintf("z%d", b.lastTargetNumber%zoneCount)
+	b.mu.Unlock()
+	oldName := t.Name()
+	t.Restart(newName)
 	t.proxy.Set(Cut)
 	t.proxy.Set(Clear)
 	return func() {
-		w.mu.Lock()
-		there := slices.Contains(w.targets, t)
-		w.mu.Unlock()
-		if there && t.Name() == next {
-			w.store.Declare(t.Target, t.service, zone, false)
+		b.mu.Lock()
+		present := slices.Contains(b.targets, t)
+		b.mu.Unlock()
+		if present && t.Name() == newName {
+			b.store.Declare(t.Target, t.service, zone, false)
 		}
-		w.store.Delete("servers", old)
+		b.store.Delete("servers", oldName)
 	}
 }
 
-// conduct returns the behaviour of a target of a service.
-func conduct(service, name string) stand.Behaviour {
+// behaviourOf returns the behaviour of a target of a service under a Conduct; an empty name stands for none.
+func behaviourOf(service, conductName string) stand.Behaviour {
 	b := stand.Behaviour{Delay: 5 * time.Millisecond}
 	if service == "engine" {
-		b.Events, b.Pace, b.Engine = 60, eventPace, true
+		b.Events, b.Pace, b.Engine = 60, eventInterval, true
 	}
-	switch name {
+	switch conductName {
 	case "cut":
 		b.CutAt = 20
 	case "mute":
