--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The whole workflow: demo, test, lint, matrix, fuzz, bench, slopes, soak, days.
+# All steps of the workflow: demo, test, lint, matrix, fuzz, bench, slopes, soak, days.
 MODULES := core entry lab platform stand wharfctl
 PACKAGES := $(addsuffix /...,$(addprefix ./,$(MODULES)))
 PROGRAMS := entry lab platform stand wharfctl
@@ -16,8 +16,8 @@
 demo: build
 	./hack/demo.sh
 
-# Tests in virtual time get one processor each: Go 1.26's race detector crashes now and then when two threads
-# run timers of one synctest bubble at once. The matrix is cut into parts that run beside each other.
+# Packages whose tests use testing/synctest run with -cpu 1: Go 1.26's race detector sometimes crashes when two threads
+# run timers of one synctest bubble at the same time. The fault matrix is split into parts that run in parallel.
 VIRTUAL := ./core/audit ./core/store ./entry/feed ./entry/filter ./entry/fleet ./entry/picker ./entry/internal/gate
 PROOF := ./entry/internal/proof
 PARTS := TestGenerationMatrix/^single TestGenerationMatrix/^twice TestGenerationMatrix/^pair TestOrderMatrix/^single TestOrderMatrix/^twice TestOrderMatrix/^pair
@@ -35,12 +35,13 @@
 	go vet $(PACKAGES)
 	go tool staticcheck $(PACKAGES)
 
-# Every cell of the fault matrix, with its table, then real processes with real signals; test runs a fixed sample of the cells.
+# Runs the demo with faults of real processes, then every cell of the fault matrix, and prints the matrix as a table;
+# make test runs a fixed sample of the cells.
 matrix: build
 	DRILL=true ./hack/demo.sh
 	cd entry/internal/proof && go test -count=1 -timeout 30m -matrix-full
 
-# Every fuzz target for a while; test runs their committed seeds.
+# Runs each fuzz target for FUZZ_TIME; make test runs only the committed inputs.
 fuzz:
 	go test -fuzz FuzzParse -fuzztime $(FUZZ_TIME) ./core/sheet
 	go test -fuzz FuzzOpen -fuzztime $(FUZZ_TIME) ./core/token
@@ -48,8 +49,9 @@
 	go test -fuzz FuzzParse -fuzztime $(FUZZ_TIME) ./core/decl
 	go test -fuzz FuzzComplete -fuzztime $(FUZZ_TIME) ./entry/internal/front
 
-# Resume latency and extra engine work for each policy beside the plain restart; ROUNDS rounds each (5 unless set:
-# some nine minutes). quick-bench plays one round and the benchmarks of single steps, in about two.
+# Compares the resume latency and the extra engine work of each recovery policy with those of a plain restart, in ROUNDS
+# rounds (5 by default, about nine minutes), then runs the Go benchmarks. quick-bench runs one round, in about two
+# minutes.
 quick-bench:
 	$(MAKE) bench ROUNDS=1
 
@@ -57,16 +59,16 @@
 	./hack/bench.sh
 	go test -run '^$$' -bench . -benchmem ./core/token ./entry/internal/relay ./platform/internal/edge
 
-# What each role costs at several sizes, fitted to the size to design for.
+# Measures the resource use of instances at several sizes and extrapolates it to the design size.
 slopes: build
 	./hack/slopes.sh
 
-# Real processes under random faults, one seed after the other; SEED and SEEDS choose them.
+# Runs real processes under random faults, for SEEDS seeds from SEED on, one after the other.
 SEED := 1
 SEEDS := 10
 soak: build
 	bin/lab soak --seed $(SEED) --seeds $(SEEDS)
 
-# Our own days on the users' bench: make days BENCH=… SITE=….
+# Runs the fault scenarios in deploy/days with the users' bench: make days BENCH=… SITE=….
 days:
 	BENCH=$(BENCH) SITE=$(SITE) ./hack/days.sh
--- a/hack/bench.sh
+++ b/hack/bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures resume latency and extra engine work against processes that are started again when they die.
+# Measures resume latency and extra engine work against processes that are restarted when they exit.
 set -u
 cd "$(dirname "$0")/.."
 bin=${BIN:-bin}
@@ -8,7 +8,7 @@
 export BRAMLEYWHARF_FLEET_SECRET=bench-fleet-secret-01234 BRAMLEYWHARF_PLATFORM=http://127.0.0.1:19400
 operator_hash=$(printf 'bench' | "$bin/wharfctl" hash -)
 
-# keep NAME COMMAND... runs a command again whenever it dies, and leaves its id in a file.
+# keep NAME COMMAND... runs a command, restarts it whenever it exits and writes its process id to $dir/NAME.pid.
 keep() {
   local name=$1
   shift
--- a/hack/days.sh
+++ b/hack/days.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on a site and prints a line for each: BENCH is the users' bench, SITE a site file.
+# Runs the fault scenarios in deploy/days on a site and prints the result line of each. BENCH is the path of the users'
+# bench, SITE that of a site file.
 set -u
 cd "$(dirname "$0")/.."
 : "${BENCH:?path of the users' bench}" "${SITE:?path of a site file}"
--- a/hack/demo.sh
+++ b/hack/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Starts the processes of the demo on loopback, drives them with the lab and stops everything it started.
+# Starts the processes of the demo on loopback addresses, runs lab demo against them and stops them.
 set -u
 cd "$(dirname "$0")/.."
 bin=${BIN:-bin}
@@ -11,17 +11,17 @@
 export BRAMLEYWHARF_FLEET_SECRET=demo-fleet-secret-0123456789
 operator_hash=$(printf 'demo-operator-key' | "$bin/wharfctl" hash -)
 
-# launch NAME COMMAND... starts a process in the background and leaves its id in $pid.
+# launch NAME COMMAND... starts a process in the background and sets $pid to its process id.
 launch() {
   local name=$1
   shift
   "$@" >"$logs/$name.log" 2>&1 &
   pid=$!
   pids+=("$pid")
-  disown "$pid" # The lab kills some on purpose; the shell would report each amid the lab's own lines.
+  disown "$pid" # The lab kills some processes; the shell would report each between the lab's lines.
 }
 
-# finish asks every process to stop and waits for it.
+# finish sends SIGTERM to every process and waits until all have exited.
 finish() {
   for p in "${pids[@]}"; do kill -TERM "$p" 2>/dev/null; done
   for p in "${pids[@]}"; do
--- a/hack/slopes.sh
+++ b/hack/slopes.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures what the roles cost at several sizes and prints the fitted report. Stops everything it started.
+# Measures the resource use of instances at several sizes and prints the fitted report.
 set -u
 cd "$(dirname "$0")/.."
 bin=${BIN:-bin}
@@ -16,7 +16,7 @@
   pids+=("$!")
 }
 
-# fleet N starts a platform, an engine and N instances, and sets $admins and $callers.
+# fleet N starts a platform, an engine and N instances, and sets $admins and $callers to the addresses of the instances.
 fleet() {
   pids=()
   admins=() callers=()
@@ -31,10 +31,10 @@
     callers+=("127.0.0.1:$base")
     admins+=("127.0.0.1:$((base + 2))")
   done
-  sleep "${SETTLE:-45}" # News of the start has been told by then.
+  sleep "${SETTLE:-45}" # Updates about the start have reached every instance by then.
 }
 
-# stop ends what fleet started.
+# stop kills the processes that fleet started.
 stop() {
   kill -KILL "${pids[@]}" 2>/dev/null
   wait "${pids[@]}" 2>/dev/null
@@ -42,7 +42,7 @@
 
 join() { local IFS=,; echo "$*"; }
 
-# measure ARGS... measures one row.
+# measure ARGS... measures one row and appends it to $rows.
 measure() {
   "$bin/lab" slopes measure --platform http://127.0.0.1:18400 --for "${FOR:-8s}" "$@" >>"$rows"
 }
