--- a/lab/internal/bench/bench.go
+++ b/lab/internal/bench/bench.go
@@ -74,7 +74,7 @@
 // Name returns the name in the report.
 func (BothKill) Name() string { return "engine and instance killed" }
 
-// process is an instance or engine that the calling script restarts when it ends.
+// process is an instance or engine that the calling script restarts when it exits.
 type process struct {
 	address string
 	pidFile string
--- a/lab/internal/demo/drill.go
+++ b/lab/internal/demo/drill.go
@@ -14,7 +14,7 @@
 
 const (
 	callerTimeout = 2 * time.Second // callerTimeout is the silence after which a caller connects to another instance.
-	pauseDuration = 5 * time.Second // pauseDuration is longer than the others take for a failover.
+	pauseDuration = 5 * time.Second // pauseDuration is longer than a failover takes.
 )
 
 // pauseEngine stops the engine of a generation with SIGSTOP; it continues after another engine has taken over.
--- a/lab/internal/soak/process.go
+++ b/lab/internal/soak/process.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// sendSignal sends a signal to the running process; endsProcess tells that the signal is to end it.
+// sendSignal sends a signal to the running process; endsProcess tells that the signal ends it.
 func (p *process) sendSignal(s syscall.Signal, endsProcess bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/internal/soak/proxy.go
+++ b/lab/internal/soak/proxy.go
@@ -109,7 +109,7 @@
 	directions.Wait()
 }
 
-// forwardOneWay forwards one direction as the mode says and passes on how the connection ends.
+// forwardOneWay forwards one direction according to the mode, and closes or resets the destination as the source was.
 func (p *Proxy) forwardOneWay(dst, src net.Conn, fromServer bool) {
 	buffer := make([]byte, bufferSize)
 	for {
--- a/lab/internal/soak/world.go
+++ b/lab/internal/soak/world.go
@@ -68,7 +68,8 @@
 	return b, nil
 }
 
-// addInstance starts an instance with its own listener and proxy of the store, so that faults can affect it alone.
+// addInstance starts an instance that reaches the store through a listener and a proxy of its own, so that a fault can
+// affect it alone.
 func (b *testbed) addInstance(i int) error {
 	name := fmt.Sprintf("soak-%d", i)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
