--- a/core/flow/gaps.go
+++ b/core/flow/gaps.go
@@ -4,9 +4,9 @@
 
 // Timeouts after which a silent engine is suspect.
 const (
-	FirstTokenPatience = 2 * time.Second        // FirstTokenPatience applies until the first token, prefill included.
-	MinPatience        = 150 * time.Millisecond // MinPatience is the least timeout between two tokens.
-	MaxPatience        = time.Second            // MaxPatience leaves time to resume within the required 3 s.
+	FirstTokenTimeout = 2 * time.Second        // FirstTokenTimeout applies until the first token, prefill included.
+	MinTokenTimeout   = 150 * time.Millisecond // MinTokenTimeout is the least timeout between two tokens.
+	MaxTokenTimeout   = time.Second            // MaxTokenTimeout leaves time to resume within the required 3 s.
 )
 
 const (
@@ -15,26 +15,27 @@
 	deviationFactor  = 6 // deviations from the mean that are still normal jitter
 )
 
-// Gaps estimates the time between an engine's tokens as a moving average and deviation; the zero value has no samples.
-type Gaps struct {
+// GapEstimate estimates the time between an engine's tokens as a moving average and deviation; the zero value has no
+// samples.
+type GapEstimate struct {
 	mean      time.Duration
 	deviation time.Duration
 	samples   int
 }
 
-// Patience returns the timeout for the next token, derived from the gaps so far.
-func (g Gaps) Patience() time.Duration {
+// Timeout returns the timeout for the next token, derived from the gaps so far.
+func (g GapEstimate) Timeout() time.Duration {
 	if g.samples == 0 {
-		return MaxPatience
+		return MaxTokenTimeout
 	}
 	timeout := 2*g.mean + deviationFactor*g.deviation
-	return min(max(timeout, MinPatience), MaxPatience)
+	return min(max(timeout, MinTokenTimeout), MaxTokenTimeout)
 }
 
 // WithGap returns the estimate after one more gap.
-func (g Gaps) WithGap(gap time.Duration) Gaps {
+func (g GapEstimate) WithGap(gap time.Duration) GapEstimate {
 	if g.samples == 0 {
-		return Gaps{mean: gap, deviation: gap / 2, samples: 1}
+		return GapEstimate{mean: gap, deviation: gap / 2, samples: 1}
 	}
 	difference := gap - g.mean
 	if difference < 0 {
--- a/core/flow/lineage.go
+++ b/core/flow/lineage.go
@@ -61,8 +61,13 @@
 	return d.Sum64()
 }
 
-// Attempt returns the attempt that produces the answer, or 0 if there is none.
-func (l Lineage) Attempt() int {
+// CanExtend reports whether an attempt may extend the answer.
+func (l Lineage) CanExtend(attempt int) bool {
+	return attempt != 0 && (attempt == l.current || attempt == l.rival)
+}
+
+// CurrentAttempt returns the attempt that produces the answer, or 0 if there is none.
+func (l Lineage) CurrentAttempt() int {
 	return l.current
 }
 
@@ -71,19 +76,14 @@
 	return l.hash
 }
 
-// Holds reports whether an attempt may extend the answer.
-func (l Lineage) Holds(attempt int) bool {
-	return attempt != 0 && (attempt == l.current || attempt == l.rival)
-}
-
-// Last returns the highest attempt number used so far.
-func (l Lineage) Last() int {
+// LastAttempt returns the highest attempt number used so far.
+func (l Lineage) LastAttempt() int {
 	return l.lastAttempt
 }
 
 // Offer decides whether a token of an attempt extends the answer, and returns the lineage after it.
 func (l Lineage) Offer(attempt int, t Token) (Lineage, Verdict) {
-	if !l.Holds(attempt) {
+	if !l.CanExtend(attempt) {
 		return l, Drop{}
 	}
 	if t.Offset != l.offset {
--- a/core/flow/lineage_test.go
+++ b/core/flow/lineage_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"testing"
-	"time"
 
 	"github.com/frankban/quicktest"
 	"pgregory.net/rapid"
@@ -53,13 +52,13 @@
 			case 1:
 				l, _ = l.WithRival()
 			case 2:
-				l = l.WithoutAttempt(rapid.IntRange(0, l.Last()).Draw(t, "lost"))
+				l = l.WithoutAttempt(rapid.IntRange(0, l.LastAttempt()).Draw(t, "lost"))
 			default:
-				attempt := rapid.IntRange(0, l.Last()).Draw(t, "attempt")
+				attempt := rapid.IntRange(0, l.LastAttempt()).Draw(t, "attempt")
 				offset := rapid.IntRange(0, delivered+2).Draw(t, "offset")
 				next, verdict := l.Offer(attempt, Token{Offset: offset, Text: "x"})
 				if _, ok := verdict.(Deliver); ok {
-					if offset != delivered || !l.Holds(attempt) {
+					if offset != delivered || !l.CanExtend(attempt) {
 						t.Fatalf("offset %d of attempt %d delivered after %d tokens", offset, attempt, delivered)
 					}
 					delivered++
@@ -72,60 +71,3 @@
 		}
 	})
 }
-
-func TestDecide(t *testing.T) {
-	cases := map[string]struct {
-		policy      Policy
-		signal      Signal
-		lostEngines int
-		want        Step
-	}{
-		"latency-silent-races":        {policy: Latency{}, signal: Silent{}, want: Race{}},
-		"latency-alive-attaches":      {policy: Latency{}, signal: Alive{}, want: Attach{}},
-		"latency-dead-continues":      {policy: Latency{}, signal: Dead{}, want: Continue{}},
-		"thrift-severed-probes":       {policy: Thrift{}, signal: Severed{}, want: Probe{}},
-		"thrift-alive-attaches":       {policy: Thrift{}, signal: Alive{}, want: Attach{}},
-		"thrift-forgotten-continues":  {policy: Thrift{}, signal: Forgotten{}, want: Continue{}},
-		"restart-severed-regenerates": {policy: Restart{}, signal: Severed{}, want: Regenerate{}},
-		"too-many-lost-engines":       {policy: Latency{}, signal: Dead{}, lostEngines: MaxDeaths, want: Abandon{}},
-		"silence-is-no-loss":          {policy: Latency{}, signal: Silent{}, lostEngines: MaxDeaths, want: Race{}},
-		"last-loss-is-recovered":      {policy: Thrift{}, signal: Dead{}, lostEngines: MaxDeaths - 1, want: Continue{}},
-	}
-	for name, test := range cases {
-		t.Run(name, func(t *testing.T) {
-			quicktest.New(t).Assert(Decide(test.policy, test.signal, test.lostEngines), quicktest.Equals, test.want)
-		})
-	}
-}
-
-func TestPatience(t *testing.T) {
-	cases := map[string]struct {
-		gaps    []time.Duration
-		atLeast time.Duration
-		atMost  time.Duration
-	}{
-		"no-samples": {atLeast: MaxPatience, atMost: MaxPatience},
-		"steady":     {gaps: repeat(47*time.Millisecond, 50), atLeast: MinPatience, atMost: 2 * MinPatience},
-		"slow":       {gaps: repeat(2*time.Second, 20), atLeast: MaxPatience, atMost: MaxPatience},
-		"jitter":     {gaps: append(repeat(20*time.Millisecond, 20), 120*time.Millisecond), atLeast: 200 * time.Millisecond, atMost: MaxPatience},
-	}
-	for name, test := range cases {
-		t.Run(name, func(t *testing.T) {
-			c := quicktest.New(t)
-			var g Gaps
-			for _, gap := range test.gaps {
-				g = g.WithGap(gap)
-			}
-			c.Assert(g.Patience() >= test.atLeast && g.Patience() <= test.atMost, quicktest.IsTrue, quicktest.Commentf("%s", g.Patience()))
-		})
-	}
-}
-
-// repeat returns count copies of a gap.
-func repeat(gap time.Duration, count int) []time.Duration {
-	gaps := make([]time.Duration, count)
-	for i := range gaps {
-		gaps[i] = gap
-	}
-	return gaps
-}
--- a/core/flow/policy.go
+++ b/core/flow/policy.go
@@ -1,8 +1,8 @@
 package flow
 
-// MaxDeaths is the number of lost engines after which a request is still recovered. At the next loss it is refused,
-// since the request itself is the likely cause.
-const MaxDeaths = 3
+// MaxLostEngines is the number of lost engines after which a request is still recovered. At the next loss it is
+// refused, since the request itself is the likely cause.
+const MaxLostEngines = 3
 
 // Policy is the sealed set of recovery policies: Latency, Thrift and Restart.
 type Policy interface {
@@ -98,7 +98,7 @@
 
 // Decide returns the next step after a signal, given how many engines the request has lost before.
 func Decide(p Policy, s Signal, lostEngines int) Step {
-	if isLoss(s) && lostEngines >= MaxDeaths {
+	if isLoss(s) && lostEngines >= MaxLostEngines {
 		return Abandon{}
 	}
 	switch p.(type) {
--- a/entry/flight/attempt.go
+++ b/entry/flight/attempt.go
@@ -239,7 +239,7 @@
 		s.longestGap = max(s.longestGap, gap)
 		s.sender.Counts.Pause.Update(gap.Seconds())
 		if s.attemptDelivered {
-			s.sender.Learn(s.service, func(p flow.Pace) flow.Pace { return p.WithPause(gap) })
+			s.sender.Learn(s.service, func(p flow.PauseEstimate) flow.PauseEstimate { return p.WithPause(gap) })
 		}
 	}
 	s.lastEventAt, s.attemptDelivered = now, true
--- a/entry/flight/guard.go
+++ b/entry/flight/guard.go
@@ -85,7 +85,7 @@
 	silence := now - lastEvent
 	if silence > m.silenceTimeout(lastEvent) {
 		if lastEvent > 0 {
-			m.sender.Learn(m.stream.service, func(p flow.Pace) flow.Pace { return p.WithSilence(silence) })
+			m.sender.Learn(m.stream.service, func(p flow.PauseEstimate) flow.PauseEstimate { return p.WithCut(silence) })
 		}
 		return errStalled
 	}
@@ -134,7 +134,7 @@
 func (m *monitor) silenceTimeout(lastEvent time.Duration) time.Duration {
 	switch {
 	case lastEvent > 0:
-		return m.sender.Pace(m.stream.service).Cut()
+		return m.sender.Pace(m.stream.service).CutTimeout()
 	case m.fromReplica:
 		return replicaEventTimeout
 	default:
@@ -161,9 +161,9 @@
 func (m *monitor) probeDelay(lastEvent time.Duration, domainLoss bool) time.Duration {
 	switch {
 	case domainLoss:
-		return max(domainLossProbeDelay, m.sender.Pace(m.stream.service).Probe()/2)
+		return max(domainLossProbeDelay, m.sender.Pace(m.stream.service).ProbeTimeout()/2)
 	case lastEvent > 0 || m.fromReplica:
-		return m.sender.Pace(m.stream.service).Probe()
+		return m.sender.Pace(m.stream.service).ProbeTimeout()
 	default:
 		return probeInterval
 	}
--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -98,11 +98,11 @@
 }
 
 // silenceTimeout returns how long the attempt may be silent before it becomes suspect.
-func (a *attempt) silenceTimeout(gaps flow.Gaps) time.Duration {
+func (a *attempt) silenceTimeout(gaps flow.GapEstimate) time.Duration {
 	if !a.hasDelivered {
-		return flow.FirstTokenPatience
+		return flow.FirstTokenTimeout
 	}
-	return gaps.Patience()
+	return gaps.Timeout()
 }
 
 // hasExhaustedProbes tells whether the attempt was probed so often without a token that it is treated as dead.
--- a/entry/internal/relay/recover.go
+++ b/entry/internal/relay/recover.go
@@ -143,7 +143,7 @@
 	case len(g.avoidedTargets) > 0:
 		clear(g.avoidedTargets)
 	case len(g.attempts) == 0:
-		g.refuse(deny.KindUnavailable, g.lineage.Last() > 0, "no target can run model %s now", g.job.Spec.Model)
+		g.refuse(deny.KindUnavailable, g.lineage.LastAttempt() > 0, "no target can run model %s now", g.job.Spec.Model)
 	default:
 		g.pendingStart = nil
 	}
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -155,7 +155,7 @@
 			c.Assert(ok, quicktest.IsTrue)
 			c.Assert(refused.Refusal.Kind, quicktest.Equals, deny.KindLost)
 			c.Assert(refused.Refusal.Executed, quicktest.Equals, deny.ExecutedUnknown)
-			c.Assert(startCount <= flow.MaxDeaths+2, quicktest.IsTrue, quicktest.Commentf("%d starts", startCount))
+			c.Assert(startCount <= flow.MaxLostEngines+2, quicktest.IsTrue, quicktest.Commentf("%d starts", startCount))
 		})
 	}
 }
--- a/entry/internal/relay/run.go
+++ b/entry/internal/relay/run.go
@@ -25,7 +25,7 @@
 	journalEntry   Entry
 	cursor         token.Cursor
 	lineage        flow.Lineage
-	gaps           flow.Gaps
+	gaps           flow.GapEstimate
 	textsOffset    int      // textsOffset is the offset of the first of texts.
 	texts          []string // texts holds the known tokens of the answer.
 	textsHash      uint64   // textsHash is the running hash of texts, valid while textsOffset is 0.
@@ -273,7 +273,7 @@
 // handleEnd finishes the answer if the stream ended normally and all of its tokens were delivered.
 // Otherwise the attempt fails.
 func (g *generation) handleEnd(a *attempt, e engine.Ended) {
-	allDelivered := g.lineage.Holds(a.number) && a.next == g.lineage.Offset()
+	allDelivered := g.lineage.CanExtend(a.number) && a.next == g.lineage.Offset()
 	if e.Complete() && allDelivered {
 		g.discardOthers(a)
 		g.finish(chain.Streamed{Reason: e.Reason, Tokens: g.lineage.Offset()})
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -109,7 +109,7 @@
 	Counts       Counts
 	settings     Settings
 	startedAt    time.Time
-	paces        sync.Map // paces maps each service to an *atomic.Pointer[flow.Pace].
+	paces        sync.Map // paces maps each service to an *atomic.Pointer[flow.PauseEstimate].
 	retryWindows sync.Map // retryWindows maps each service to an *atomic.Pointer[retry.Window].
 }
 
@@ -196,14 +196,14 @@
 }
 
 // Pace returns the estimate of the pauses between events in a service's streams.
-func (s *Sender) Pace(service string) flow.Pace {
-	return *pointerFor[flow.Pace](&s.paces, service).Load()
+func (s *Sender) Pace(service string) flow.PauseEstimate {
+	return *pointerFor[flow.PauseEstimate](&s.paces, service).Load()
 }
 
 // Learn replaces the estimate of the pauses in a service's streams by the result of change, which may be called more
 // than once.
-func (s *Sender) Learn(service string, change func(flow.Pace) flow.Pace) {
-	cell.Swap(pointerFor[flow.Pace](&s.paces, service), func(p flow.Pace) (flow.Pace, bool) { return change(p), true })
+func (s *Sender) Learn(service string, change func(flow.PauseEstimate) flow.PauseEstimate) {
+	cell.Swap(pointerFor[flow.PauseEstimate](&s.paces, service), func(p flow.PauseEstimate) (flow.PauseEstimate, bool) { return change(p), true })
 }
 
 // retryWindow returns the counts of recent requests and retries of a service.
