--- a/core/route/choose.go
+++ b/core/route/choose.go
@@ -2,19 +2,19 @@
 
 // Candidate is a target as one instance sees it; its values are never changed after construction.
 type Candidate struct {
-	Name    string
-	Address string
-	Domain  string
-	Slots   int     // Slots is the number of generations batched at once; 0 means unknown.
-	Own     int     // Own is the number of this instance's generations in flight there.
-	Load    int     // Load is the last reported number of all instances' generations there.
-	Warm    float64 // Warm is the estimated share of the prompt's prefix in the target's cache, 0 to 1.
-	Suspect bool    // Suspect marks a target that failed recently.
+	Name         string
+	Address      string
+	Domain       string
+	Slots        int     // Slots is the number of generations batched at once; 0 means unknown.
+	InFlight     int     // InFlight is the number of this instance's generations in flight there.
+	ReportedLoad int     // ReportedLoad is the last reported number of all instances' generations there.
+	CachedPrefix float64 // CachedPrefix is the estimated share of the prompt's prefix in the target's cache, 0 to 1.
+	Suspect      bool    // Suspect marks a target that failed recently.
 }
 
-// Choice is the sealed set of strategies to choose a target: Balanced, Scanned, LeastLoaded and Random.
-type Choice interface {
-	isChoice()
+// Strategy is the sealed set of strategies to choose a target: Balanced, Scanned, LeastLoaded and Random.
+type Strategy interface {
+	isStrategy()
 }
 
 // Balanced compares the cost of two random targets and of the one with the most of the prefix cached. Reports lag, so
@@ -37,10 +37,10 @@
 	Draw uint64 // Draw is a random number.
 }
 
-func (Balanced) isChoice()    {}
-func (Scanned) isChoice()     {}
-func (LeastLoaded) isChoice() {}
-func (Random) isChoice()      {}
+func (Balanced) isStrategy()    {}
+func (Scanned) isStrategy()     {}
+func (LeastLoaded) isStrategy() {}
+func (Random) isStrategy()      {}
 
 const (
 	cachedPrefixGain = 0.5  // load, as a share of the slots, that a fully cached prefix outweighs
@@ -50,7 +50,7 @@
 )
 
 // Choose returns the index of the candidate for a request, or -1 if the names to avoid leave none.
-func Choose(c Choice, candidates []Candidate, avoid map[string]bool) int {
+func Choose(s Strategy, candidates []Candidate, avoid map[string]bool) int {
 	var allowed []int
 	for i, candidate := range candidates {
 		if !avoid[candidate.Name] {
@@ -60,13 +60,13 @@
 	if len(allowed) == 0 {
 		return -1
 	}
-	switch c := c.(type) {
+	switch s := s.(type) {
 	case Random:
-		return allowed[c.Draw%uint64(len(allowed))]
+		return allowed[s.Draw%uint64(len(allowed))]
 	case Balanced:
-		return cheapest(candidates, sample(candidates, withoutSuspects(candidates, allowed), c.Draw), c.Domain, cachedPrefixGain)
+		return cheapest(candidates, sample(candidates, withoutSuspects(candidates, allowed), s.Draw), s.Domain, cachedPrefixGain)
 	case Scanned:
-		return cheapest(candidates, allowed, c.Domain, cachedPrefixGain)
+		return cheapest(candidates, allowed, s.Domain, cachedPrefixGain)
 	default:
 		return cheapest(candidates, allowed, "", 0)
 	}
@@ -116,7 +116,7 @@
 	if slots == 0 {
 		slots = defaultSlots
 	}
-	cost := float64(max(c.Own, c.Load))/float64(slots) - prefixGain*c.Warm
+	cost := float64(max(c.InFlight, c.ReportedLoad))/float64(slots) - prefixGain*c.CachedPrefix
 	if c.Suspect {
 		cost += suspectPenalty
 	}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -64,12 +64,12 @@
 
 func TestChoose(t *testing.T) {
 	idle := Candidate{Name: "idle", Domain: "far", Slots: 10}
-	warm := Candidate{Name: "warm", Domain: "far", Slots: 10, Load: 3, Warm: 1}
-	full := Candidate{Name: "full", Domain: "far", Slots: 10, Load: 9, Warm: 1}
+	warm := Candidate{Name: "warm", Domain: "far", Slots: 10, ReportedLoad: 3, CachedPrefix: 1}
+	full := Candidate{Name: "full", Domain: "far", Slots: 10, ReportedLoad: 9, CachedPrefix: 1}
 	near := Candidate{Name: "near", Domain: "own", Slots: 10}
 	suspect := Candidate{Name: "suspect", Domain: "own", Slots: 10, Suspect: true}
 	cases := map[string]struct {
-		choice     Choice
+		strategy   Strategy
 		candidates []Candidate
 		avoid      string
 		want       int
@@ -86,7 +86,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := Choose(test.choice, test.candidates, map[string]bool{test.avoid: true})
+			got := Choose(test.strategy, test.candidates, map[string]bool{test.avoid: true})
 			quicktest.New(t).Assert(got, quicktest.Equals, test.want)
 		})
 	}
--- a/entry/internal/admin/admin.go
+++ b/entry/internal/admin/admin.go
@@ -198,8 +198,8 @@
 		statuses = append(statuses, TargetStatus{
 			Name:    target.Name,
 			Domain:  target.Domain,
-			Own:     target.Own,
-			Load:    target.Load,
+			Own:     target.InFlight,
+			Load:    target.ReportedLoad,
 			Slots:   target.Slots,
 			Suspect: target.Suspect,
 		})
--- a/entry/internal/pool/pool.go
+++ b/entry/internal/pool/pool.go
@@ -120,7 +120,7 @@
 		return route.Candidate{}, false
 	}
 	chosen := candidates[index]
-	if chosen.Warm == 0 {
+	if chosen.CachedPrefix == 0 {
 		p.updateTarget(chosen.Name, func(w watchedTarget) watchedTarget {
 			w.cacheEstimate = w.cacheEstimate.withRouted(prefix)
 			return w
--- a/entry/internal/pool/table.go
+++ b/entry/internal/pool/table.go
@@ -29,14 +29,14 @@
 // candidate returns the target as a candidate for a prompt with a prefix.
 func (w watchedTarget) candidate(prefix string) route.Candidate {
 	return route.Candidate{
-		Name:    w.target.Name,
-		Address: w.target.Address,
-		Domain:  w.target.Domain,
-		Slots:   w.slots,
-		Own:     int(w.ownGenerations.Load()),
-		Load:    w.reportedLoad,
-		Warm:    w.cacheEstimate.probability(prefix),
-		Suspect: w.isSuspect,
+		Name:         w.target.Name,
+		Address:      w.target.Address,
+		Domain:       w.target.Domain,
+		Slots:        w.slots,
+		InFlight:     int(w.ownGenerations.Load()),
+		ReportedLoad: w.reportedLoad,
+		CachedPrefix: w.cacheEstimate.probability(prefix),
+		Suspect:      w.isSuspect,
 	}
 }
 
--- a/lab/internal/cmds/model.go
+++ b/lab/internal/cmds/model.go
@@ -20,10 +20,10 @@
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 			_, _ = fmt.Fprintln(w, "SUBSET\tCHOICE\tREQUESTS\tPREFIX HITS\tLOAD p99\tBUSIEST/MEAN\tFOUND FULL")
 			for _, subset := range []int{2, 4, 8, 16} {
-				for _, choice := range []string{"balanced", "scanned", "least-loaded", "random"} {
-					s.Subset, s.Choice = subset, choice
+				for _, strategy := range []string{"balanced", "scanned", "least-loaded", "random"} {
+					s.Subset, s.Strategy = subset, strategy
 					r := model.Run(s)
-					_, _ = fmt.Fprintf(w, "%d\t%s\t%d\t%.1f%%\t%.2f\t%.2f\t%.2f%%\n", subset, choice, r.Requests,
+					_, _ = fmt.Fprintf(w, "%d\t%s\t%d\t%.1f%%\t%.2f\t%.2f\t%.2f%%\n", subset, strategy, r.Requests,
 						100*float64(r.Hits)/float64(r.Requests), r.Peak, r.Spread, 100*float64(r.Over)/float64(r.Requests))
 				}
 			}
--- a/lab/internal/model/fleet.go
+++ b/lab/internal/model/fleet.go
@@ -24,7 +24,7 @@
 	Lag       time.Duration // Lag is the interval between two load reports of an engine.
 	Length    time.Duration // Length is the simulated duration.
 	Affinity  int           // Affinity is the number of instances that share the requests of one prefix.
-	Choice    string        // Choice is the way to choose an engine: balanced, scanned, least-loaded or random.
+	Strategy  string        // Strategy is the way to choose an engine: balanced, scanned, least-loaded or random.
 	Seed      uint64
 }
 
@@ -147,12 +147,12 @@
 	watched := inst.subsets[prefix%f.settings.Models]
 	candidates := make([]route.Candidate, len(watched))
 	for i, index := range watched {
-		candidates[i] = route.Candidate{Name: f.targets[index].name, Slots: f.settings.Slots, Own: inst.inFlight[index], Load: f.targets[index].reported}
+		candidates[i] = route.Candidate{Name: f.targets[index].name, Slots: f.settings.Slots, InFlight: inst.inFlight[index], ReportedLoad: f.targets[index].reported}
 		if inst.sent[[2]int{index, prefix}] {
-			candidates[i].Warm = 1
+			candidates[i].CachedPrefix = 1
 		}
 	}
-	chosen := watched[route.Choose(f.choice(), candidates, nil)]
+	chosen := watched[route.Choose(f.strategy(), candidates, nil)]
 	t := f.targets[chosen]
 	f.result.Requests++
 	if t.useCached(prefix, f.settings.Cached) {
@@ -168,20 +168,6 @@
 	heap.Push(&f.running, completion{at: now + duration, target: chosen, instance: slices.Index(f.instanceNames, inst.name)})
 }
 
-// choice returns the configured way to choose an engine, with a new random number where it needs one.
-func (f *fleet) choice() route.Choice {
-	switch f.settings.Choice {
-	case "random":
-		return route.Random{Draw: f.rng.Uint64()}
-	case "least-loaded":
-		return route.LeastLoaded{}
-	case "scanned":
-		return route.Scanned{}
-	default:
-		return route.Balanced{Draw: f.rng.Uint64()}
-	}
-}
-
 // complete ends the requests that finish by now.
 func (f *fleet) complete(now time.Duration) {
 	for len(f.running) > 0 && f.running[0].at <= now {
@@ -191,6 +177,16 @@
 	}
 }
 
+// reportLoads makes the engines' current load visible to the instances.
+func (f *fleet) reportLoads() {
+	for _, t := range f.targets {
+		t.reported = t.running
+		load := float64(t.running) / float64(f.settings.Slots)
+		t.loadSum += load
+		f.loads = append(f.loads, load)
+	}
+}
+
 // useCached reports whether a prefix is cached and makes it the most recently used one. A prefix that was not cached
 // takes the place of the least recently used one when the cache is full.
 func (t *target) useCached(prefix, capacity int) bool {
@@ -204,13 +200,17 @@
 	return index >= 0
 }
 
-// reportLoads makes the engines' current load visible to the instances.
-func (f *fleet) reportLoads() {
-	for _, t := range f.targets {
-		t.reported = t.running
-		load := float64(t.running) / float64(f.settings.Slots)
-		t.loadSum += load
-		f.loads = append(f.loads, load)
+// strategy returns the configured way to choose an engine, with a new random number where it needs one.
+func (f *fleet) strategy() route.Strategy {
+	switch f.settings.Strategy {
+	case "random":
+		return route.Random{Draw: f.rng.Uint64()}
+	case "least-loaded":
+		return route.LeastLoaded{}
+	case "scanned":
+		return route.Scanned{}
+	default:
+		return route.Balanced{Draw: f.rng.Uint64()}
 	}
 }
 
