--- a/entry/internal/lend/lend.go
+++ b/entry/internal/lend/lend.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	renewInterval = time.Second            // renewInterval must stay well below limit.Life.
+	renewInterval = time.Second            // renewInterval must stay well below limit.SliceLifetime.
 	batchDelay    = 5 * time.Millisecond   // batchDelay lets requests that need slots at once share a message.
 	borrowTimeout = 700 * time.Millisecond // borrowTimeout bounds one exchange with a lender.
 	idleTimeout   = 10 * time.Second       // idleTimeout is when the slots of an unused account are no longer renewed.
-	// acquireTimeout bounds the wait for a slot. A new lender grants nothing new for limit.Life + limit.Margin.
-	acquireTimeout  = limit.Life + limit.Margin + time.Second
+	// acquireTimeout bounds the wait for a slot. A new lender grants nothing new for limit.SliceLifetime +
+	// limit.ClockMargin.
+	acquireTimeout  = limit.SliceLifetime + limit.ClockMargin + time.Second
 	recheckInterval = 50 * time.Millisecond // recheckInterval is how often a waiting request checks without being woken.
 	maxWaiters      = 64                    // maxWaiters bounds the requests of one organisation that wait here.
 )
@@ -46,14 +47,14 @@
 // Lend borrows slots for this instance and lends them to others.
 type Lend struct {
 	*wait.Loop
-	fleet       Fleet
-	config      Source
-	peers       peer.Net
-	startedAt   time.Time
-	accounts    sync.Map // accounts maps organisations to their *account.
-	borrowNow   chan struct{}
-	refusals    *metrics.Counter
-	floorGrants *metrics.Counter
+	fleet          Fleet
+	config         Source
+	peers          peer.Net
+	startedAt      time.Time
+	accounts       sync.Map // accounts maps organisations to their *account.
+	borrowNow      chan struct{}
+	refusals       *metrics.Counter
+	fallbackGrants *metrics.Counter
 
 	mu      sync.Mutex
 	books   map[string]limit.Book // books maps organisations to what was lent of their ceilings.
@@ -63,15 +64,15 @@
 // New returns a running controller.
 func New(fleet Fleet, config Source, peers peer.Net, set *metrics.Set) *Lend {
 	l := &Lend{
-		fleet:       fleet,
-		config:      config,
-		peers:       peers,
-		startedAt:   time.Now(),
-		borrowNow:   make(chan struct{}, 1),
-		books:       make(map[string]limit.Book),
-		history:     lenderHistory{self: fleet.Self().Name, startedAt: time.Now()},
-		refusals:    set.GetOrCreateCounter("bramleywharf_ceiling_refusals_total"),
-		floorGrants: set.GetOrCreateCounter("bramleywharf_ceiling_floors_total"),
+		fleet:          fleet,
+		config:         config,
+		peers:          peers,
+		startedAt:      time.Now(),
+		borrowNow:      make(chan struct{}, 1),
+		books:          make(map[string]limit.Book),
+		history:        lenderHistory{self: fleet.Self().Name, startedAt: time.Now()},
+		refusals:       set.GetOrCreateCounter("bramleywharf_ceiling_refusals_total"),
+		fallbackGrants: set.GetOrCreateCounter("bramleywharf_ceiling_floors_total"),
 	}
 	l.Loop = wait.Start(l.loop)
 	return l
@@ -96,7 +97,7 @@
 
 // Handle answers a member that borrows slots.
 func (l *Lend) Handle(request wire.Borrow) wire.Message {
-	answer := wire.Lent{Life: limit.Life}
+	answer := wire.Lent{Life: limit.SliceLifetime}
 	for _, want := range request.Wants {
 		answer.Slots = append(answer.Slots, l.grant(request.From, want))
 	}
@@ -131,12 +132,12 @@
 	defer l.mu.Unlock()
 	l.history.observe(l.fleet.View(), now)
 	book, ok := l.books[want.Organisation]
-	if since := l.history.lenderSince(want.Organisation); !ok || book.Opened().Before(since) {
-		book = limit.Open(since)
+	if since := l.history.lenderSince(want.Organisation); !ok || book.Start().Before(since) {
+		book = limit.NewBook(since)
 	}
-	ask := limit.Ask{From: from, Running: want.Running, Held: want.Held, Wanted: want.Wanted}
+	request := limit.Request{Borrower: from, Running: want.Running, Held: want.Held, Wanted: want.Wanted}
 	var granted int
-	l.books[want.Organisation], granted = book.WithAsk(ask, orgLimit.Ceiling, now)
+	l.books[want.Organisation], granted = book.WithRequest(request, orgLimit.Ceiling, now)
 	return granted
 }
 
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// borrowFrom sends a request to its lender and applies the grants, or the floors if the lender does not answer.
+// borrowFrom sends a request to its lender and applies the grants, or the fallback slots if the lender does not answer.
 func (l *Lend) borrowFrom(ctx context.Context, r *borrowRequest) {
 	sentAt := l.elapsed()
 	m := wire.Borrow{From: l.fleet.Self().Name, Wants: r.wants}
@@ -52,7 +52,7 @@
 	}
 	lent, ok := answer.(wire.Lent)
 	if err != nil || !ok || len(lent.Slots) != len(r.wants) {
-		l.grantFloors(r)
+		l.grantFallbackSlots(r)
 		return
 	}
 	for i, a := range r.accounts {
@@ -91,8 +91,8 @@
 	group.Wait()
 }
 
-// grantFloors grants expired accounts the part of the ceiling that each instance may use without a lender.
-func (l *Lend) grantFloors(r *borrowRequest) {
+// grantFallbackSlots grants expired accounts the part of the ceiling that each instance may use without a lender.
+func (l *Lend) grantFallbackSlots(r *borrowRequest) {
 	rank, members := l.rankByName()
 	for i, a := range r.accounts {
 		if a.usableSlots(l.elapsed()) > 0 {
@@ -102,8 +102,8 @@
 		if !ok {
 			continue
 		}
-		l.floorGrants.Inc()
-		a.setGrant(limit.Floor(orgLimit.Ceiling, rank, members), l.elapsed()+renewInterval+borrowTimeout)
+		l.fallbackGrants.Inc()
+		a.setGrant(limit.FallbackSlots(orgLimit.Ceiling, rank, members), l.elapsed()+renewInterval+borrowTimeout)
 	}
 }
 
--- a/entry/internal/lend/tenure.go
+++ b/entry/internal/lend/tenure.go
@@ -10,7 +10,8 @@
 )
 
 // lenderHistory tells since when this instance is the lender of an organisation, from the recent lender candidates.
-// Grants of a former lender are valid for at most limit.Life + limit.Margin, so older periods do not matter.
+// Grants of a former lender are valid for at most limit.SliceLifetime + limit.ClockMargin, so older periods do not
+// matter.
 type lenderHistory struct {
 	self      string
 	startedAt time.Time
@@ -31,7 +32,7 @@
 	}
 	h.periods = append(h.periods, period{start: now, candidates: candidates})
 	expired := 0
-	for expired+1 < len(h.periods) && now.Sub(h.periods[expired+1].start) > limit.Life+limit.Margin {
+	for expired+1 < len(h.periods) && now.Sub(h.periods[expired+1].start) > limit.SliceLifetime+limit.ClockMargin {
 		expired++
 	}
 	h.periods = h.periods[expired:]
@@ -48,7 +49,7 @@
 	if len(h.periods) > 0 && len(h.periods[0].candidates) > 1 {
 		return h.startedAt
 	}
-	return h.startedAt.Add(-limit.Life - limit.Margin)
+	return h.startedAt.Add(-limit.SliceLifetime - limit.ClockMargin)
 }
 
 // lenderCandidates returns the sorted names of the members that may lend: those alive and in contact.
