--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -9,9 +9,9 @@
 
 // Bounds of a queue.
 const (
-	MaxTickets     = 512 // MaxTickets bounds all waiting generations of one instance.
-	MaxOfOne       = 128 // MaxOfOne bounds the waiting generations of one organisation.
-	minServiceRate = 0.1 // in tickets per second; keeps wait estimates finite
+	MaxTickets         = 512 // MaxTickets bounds all waiting generations of one instance.
+	MaxPerOrganisation = 128 // MaxPerOrganisation bounds the waiting generations of one organisation.
+	minServiceRate     = 0.1 // in tickets per second; keeps wait estimates finite
 )
 
 // Errors of rejected generations.
@@ -37,13 +37,8 @@
 	next        uint64             // ID of the next ticket
 }
 
-// Len returns the number of tickets.
-func (q Queue) Len() int {
-	return len(q.tickets)
-}
-
-// Wait estimates how long a new ticket of an organisation waits at a service rate in tickets per second.
-func (q Queue) Wait(organisation string, share, rate float64) time.Duration {
+// EstimateWait estimates how long a new ticket of an organisation waits at a service rate in tickets per second.
+func (q Queue) EstimateWait(organisation string, share, rate float64) time.Duration {
 	ownTickets := 1
 	shareOf := map[string]float64{organisation: share}
 	for _, t := range q.tickets {
@@ -60,6 +55,11 @@
 	return time.Duration(turns / max(rate, minServiceRate) * float64(time.Second))
 }
 
+// Len returns the number of tickets.
+func (q Queue) Len() int {
+	return len(q.tickets)
+}
+
 // WithTicket returns a queue with one more ticket, and that ticket.
 func (q Queue) WithTicket(organisation, model string, share float64, deadline time.Time) (Queue, Ticket, error) {
 	ownTickets := 0
@@ -68,7 +68,7 @@
 			ownTickets++
 		}
 	}
-	if len(q.tickets) >= MaxTickets || ownTickets >= MaxOfOne {
+	if len(q.tickets) >= MaxTickets || ownTickets >= MaxPerOrganisation {
 		return q, Ticket{}, ErrFull
 	}
 	t := Ticket{ID: q.next, Organisation: organisation, Model: model, Share: share, Deadline: deadline}
@@ -98,9 +98,9 @@
 	return next, expired
 }
 
-// WithoutFirst returns a queue without the ticket that is served next among those whose model has room, and that
+// WithoutNext returns a queue without the ticket that is served next among those whose model has room, and that
 // ticket.
-func (q Queue) WithoutFirst(hasRoom func(model string) bool) (Queue, Ticket, bool) {
+func (q Queue) WithoutNext(hasRoom func(model string) bool) (Queue, Ticket, bool) {
 	best := -1
 	var earliestFinish float64
 	seen := make(map[string]bool)
--- a/core/fair/queue_test.go
+++ b/core/fair/queue_test.go
@@ -38,7 +38,7 @@
 				}
 			}
 			for range rounds {
-				next, ticket, ok := q.WithoutFirst(alwaysRoom)
+				next, ticket, ok := q.WithoutNext(alwaysRoom)
 				c.Assert(ok, quicktest.IsTrue)
 				q = next
 				got[ticket.Organisation] += 1.0 / rounds
@@ -63,7 +63,7 @@
 func TestQueue(t *testing.T) {
 	now := time.Unix(100, 0)
 	full := Queue{}
-	for range MaxOfOne {
+	for range MaxPerOrganisation {
 		full, _, _ = full.WithTicket("a", "m", 1, now.Add(time.Second))
 	}
 	cases := map[string]struct {
@@ -72,16 +72,16 @@
 		err  error
 	}{
 		"organisation-at-its-bound":    {run: func() (any, error) { _, _, err := full.WithTicket("a", "m", 1, now); return nil, err }, err: ErrFull},
-		"other-organisation-is-queued": {run: func() (any, error) { q, _, err := full.WithTicket("b", "m", 1, now); return q.Len(), err }, want: MaxOfOne + 1},
+		"other-organisation-is-queued": {run: func() (any, error) { q, _, err := full.WithTicket("b", "m", 1, now); return q.Len(), err }, want: MaxPerOrganisation + 1},
 		"expired-are-removed": {run: func() (any, error) {
 			q, expired := full.WithoutExpired(now.Add(2 * time.Second))
 			return q.Len() + len(expired)*10, nil
-		}, want: MaxOfOne * 10},
-		"none-expired-before-the-deadline":       {run: func() (any, error) { q, expired := full.WithoutExpired(now); return q.Len() + len(expired)*10, nil }, want: MaxOfOne},
-		"withdrawn-ticket":                       {run: func() (any, error) { q, found := full.WithoutTicket(3); return q.Len(), errorUnless(found) }, want: MaxOfOne - 1},
-		"no-model-has-room":                      {run: func() (any, error) { _, _, ok := full.WithoutFirst(func(string) bool { return false }); return ok, nil }, want: false},
-		"new-organisation-does-not-wait-for-all": {run: func() (any, error) { return full.Wait("b", 10, 1) < 20*time.Second, nil }, want: true},
-		"wait-grows-with-the-queue":              {run: func() (any, error) { return full.Wait("a", 1, 1), nil }, want: (MaxOfOne + 1) * time.Second},
+		}, want: MaxPerOrganisation * 10},
+		"none-expired-before-the-deadline":       {run: func() (any, error) { q, expired := full.WithoutExpired(now); return q.Len() + len(expired)*10, nil }, want: MaxPerOrganisation},
+		"withdrawn-ticket":                       {run: func() (any, error) { q, found := full.WithoutTicket(3); return q.Len(), errorUnless(found) }, want: MaxPerOrganisation - 1},
+		"no-model-has-room":                      {run: func() (any, error) { _, _, ok := full.WithoutNext(func(string) bool { return false }); return ok, nil }, want: false},
+		"new-organisation-does-not-wait-for-all": {run: func() (any, error) { return full.EstimateWait("b", 10, 1) < 20*time.Second, nil }, want: true},
+		"wait-grows-with-the-queue":              {run: func() (any, error) { return full.EstimateWait("a", 1, 1), nil }, want: (MaxPerOrganisation + 1) * time.Second},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/entry/internal/gate/gate.go
+++ b/entry/internal/gate/gate.go
@@ -87,7 +87,7 @@
 	admitted = make(chan bool, 1)
 	serviceRate := float64(g.serviceRate.Load()) / 1000
 	g.queue.Update(func(q fair.Queue) fair.Queue {
-		if serviceRate > 0 && q.Wait(organisation, share, serviceRate) > time.Until(deadline) {
+		if serviceRate > 0 && q.EstimateWait(organisation, share, serviceRate) > time.Until(deadline) {
 			err = fair.ErrLate
 			return q
 		}
@@ -158,7 +158,7 @@
 	var ticket fair.Ticket
 	var ok bool
 	g.queue.Update(func(q fair.Queue) fair.Queue {
-		q, ticket, ok = q.WithoutFirst(func(model string) bool { return g.availableSlots(model) > 0 })
+		q, ticket, ok = q.WithoutNext(func(model string) bool { return g.availableSlots(model) > 0 })
 		return q
 	})
 	if !ok {
