--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -50,7 +50,7 @@
 	ordersRefused *metrics.Counter
 
 	// Only the loop uses these.
-	leaseSeen    fence.Seen
+	leaseSeen    fence.Observation
 	leaseTakenAt time.Time // leaseTakenAt is when this instance last took the lease over.
 	nextTarget   int       // nextTarget is the index, modulo their number, of the target that the next round starts with.
 }
@@ -79,7 +79,7 @@
 		return
 	}
 	requestedAt := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, fence.Renew)
+	ctx, cancel := context.WithTimeout(ctx, fence.RenewInterval)
 	defer cancel()
 	o := store.Object{Kind: kindLease, Name: leaseName, Revision: s.leaseSeen.Revision}
 	revision, err := store.Settled{Store: s.store}.Put(ctx, o.WithValue(token.NewID(), raw))
@@ -87,16 +87,16 @@
 		s.readLease(ctx)
 		return
 	}
-	s.leaseSeen = s.leaseSeen.WithHold(l, revision, requestedAt)
+	s.leaseSeen = s.leaseSeen.WithRenewal(l, revision, requestedAt)
 	if isTakeover {
 		s.leaseTakenAt = time.Now()
-		s.log.WithField("fencing-number", l.Number).Info("took over the lease for engine orders")
+		s.log.WithField("fencing-number", l.FencingNumber).Info("took over the lease for engine orders")
 	}
 }
 
 // loop keeps the lease while this instance is elected, and runs a round of orders at each renewal.
 func (s *Steer) loop(ctx context.Context) {
-	tick := time.NewTicker(fence.Renew)
+	tick := time.NewTicker(fence.RenewInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -105,7 +105,7 @@
 		case <-tick.C:
 		}
 		wantsLease := s.roles.Elected("steer", 1)
-		if wantsLease && s.leaseSeen.Until.IsZero() {
+		if wantsLease && s.leaseSeen.HeldUntil.IsZero() {
 			s.readLease(ctx)
 		}
 		switch step := fence.Decide(s.leaseSeen, s.self, wantsLease, time.Now()).(type) {
@@ -136,7 +136,7 @@
 // reconcile reads which models an engine has loaded and orders the declared ones if they differ. It tells whether it
 // sent an order.
 func (s *Steer) reconcile(ctx context.Context, t conf.Target) (ordered bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, fence.OrderBound)
+	ctx, cancel := context.WithTimeout(ctx, fence.OrderTimeout)
 	defer cancel()
 	load, err := s.engines.Load(ctx, t.Address)
 	if err != nil {
@@ -146,11 +146,11 @@
 	if slices.Equal(slices.Sorted(slices.Values(load.Models)), wantedModels) {
 		return false, nil
 	}
-	if !fence.May(s.leaseSeen, s.self, fencingOf(t), s.leaseTakenAt, time.Now()) {
+	if !fence.MayOrder(s.leaseSeen, s.self, fencingOf(t), s.leaseTakenAt, time.Now()) {
 		return false, nil
 	}
 	s.ordersSent.Inc()
-	err = s.engines.Order(ctx, t.Address, engine.Order{Fence: s.leaseSeen.Lease.Number, Models: wantedModels})
+	err = s.engines.Order(ctx, t.Address, engine.Order{Fence: s.leaseSeen.Lease.FencingNumber, Models: wantedModels})
 	if errors.Is(err, engine.ErrFenced) {
 		s.ordersRefused.Inc()
 	}
@@ -160,7 +160,7 @@
 // runRound reconciles the next engines, if this instance holds the lease, until it has sent enough orders, has read
 // enough engines or its lease is about to expire.
 func (s *Steer) runRound(ctx context.Context) {
-	if s.leaseSeen.Lease.Holder != s.self || s.leaseSeen.Until.IsZero() {
+	if s.leaseSeen.Lease.Holder != s.self || s.leaseSeen.HeldUntil.IsZero() {
 		return
 	}
 	snapshot, err := s.source.Current()
@@ -180,16 +180,16 @@
 		if ordered {
 			orderCount++
 		}
-		if orderCount == maxOrdersPerRound || time.Now().Add(fence.OrderBound).After(s.leaseSeen.Until) {
+		if orderCount == maxOrdersPerRound || time.Now().Add(fence.OrderTimeout).After(s.leaseSeen.HeldUntil) {
 			return
 		}
 	}
 }
 
 // fencingOf tells whether a target checks or ignores fencing numbers.
-func fencingOf(t conf.Target) fence.Engine {
+func fencingOf(t conf.Target) fence.EngineKind {
 	if t.IgnoresFencing {
-		return fence.Ignoring{}
+		return fence.IgnoresFencing{}
 	}
-	return fence.Checking{}
+	return fence.ChecksFencing{}
 }
