--- a/core/member/view.go
+++ b/core/member/view.go
@@ -52,9 +52,20 @@
 	return slices.SortedFunc(maps.Values(v.members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Callable returns the caller addresses of the alive members that are not leaving, without self unless it is ready. If
-// half of the members or more seem lost, self is more likely cut off, and the lost ones are included.
-func (v View) Callable(self string, ready bool) []string {
+// Available returns the members that new callers may be sent to.
+func (v View) Available() []route.Place {
+	var available []route.Place
+	for _, m := range v.Live() {
+		if !m.Leaving && m.State == Alive {
+			available = append(available, route.Place{Name: m.Name, Domain: m.Domain})
+		}
+	}
+	return available
+}
+
+// CallerAddresses returns the caller addresses of the alive members that are not leaving, without self unless it is
+// ready. If half of the members or more seem lost, self is more likely cut off, and the lost ones are included.
+func (v View) CallerAddresses(self string, ready bool) []string {
 	var alive, all []string
 	for _, m := range v.All() {
 		if m.Leaving || m.Incarnation == 0 || m.Name == self && !ready {
@@ -71,9 +82,9 @@
 	return alive
 }
 
-// Expected returns the number of members that should be running: all but those that died after announcing that they
-// were leaving.
-func (v View) Expected() int {
+// ExpectedCount returns the number of members that should be running: all but those that died after announcing that
+// they were leaving.
+func (v View) ExpectedCount() int {
 	expected := 0
 	for _, m := range v.members {
 		if m.State != Dead || !m.Leaving {
@@ -125,17 +136,6 @@
 	return neighbours
 }
 
-// Open returns the members that new callers may be sent to.
-func (v View) Open() []route.Place {
-	var open []route.Place
-	for _, m := range v.Live() {
-		if !m.Leaving && m.State == Alive {
-			open = append(open, route.Place{Name: m.Name, Domain: m.Domain})
-		}
-	}
-	return open
-}
-
 // WithMember returns a view with an update merged in, and whether that changed it.
 func (v View) WithMember(update Member) (View, bool) {
 	current, known := v.members[update.Name]
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -161,7 +161,7 @@
 					c.Check(ok, quicktest.IsTrue)
 					c.Check(m.State, quicktest.Equals, test.state, quicktest.Commentf("%s", name))
 					offered := false
-					for _, address := range f.View().Callable(name, true) {
+					for _, address := range f.View().CallerAddresses(name, true) {
 						offered = offered || address == "i-3"
 					}
 					c.Check(offered, quicktest.Equals, !test.withdrawn, quicktest.Commentf("%s", name))
--- a/entry/fleet/loop.go
+++ b/entry/fleet/loop.go
@@ -45,7 +45,7 @@
 			alive++
 		}
 	}
-	return alive*2 > view.Expected()
+	return alive*2 > view.ExpectedCount()
 }
 
 // Size returns the number of members that are not dead.
--- a/entry/inst/inst.go
+++ b/entry/inst/inst.go
@@ -227,7 +227,7 @@
 // callerAddresses returns the addresses of the instances that callers may use.
 func (i *Instance) callerAddresses() []string {
 	members := i.fleet.Load()
-	return members.View().Callable(members.Self().Name, i.ready.Load())
+	return members.View().CallerAddresses(members.Self().Name, i.ready.Load())
 }
 
 // reportFailure sends the error of a component to the channel of Failed; errors after the first are only logged.
--- a/entry/internal/keep/keep.go
+++ b/entry/internal/keep/keep.go
@@ -147,7 +147,7 @@
 func (k *Keep) chooseKeeper(request string) string {
 	self := k.fleet.Self()
 	var sameDomain, candidates []string
-	for _, p := range k.fleet.View().Open() {
+	for _, p := range k.fleet.View().Available() {
 		switch {
 		case p.Name == self.Name:
 		case p.Domain == self.Domain:
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -123,5 +123,5 @@
 			rank++
 		}
 	}
-	return rank, view.Expected()
+	return rank, view.ExpectedCount()
 }
--- a/entry/internal/serve/serve.go
+++ b/entry/internal/serve/serve.go
@@ -169,7 +169,7 @@
 func (s *Server) lookup(r chain.Lookup, c chain.Call) chain.Answer {
 	view := s.fleet.View()
 	key := c.Organisation + "/" + r.Model
-	names := route.Spread(key, r.Domain, view.Open(), affinitySize)
+	names := route.Spread(key, r.Domain, view.Available(), affinitySize)
 	if prefix := pool.Prefix(r.Prompt); prefix != "" {
 		names = route.Rank(prefix, names)
 	}
