--- a/entry/picker/choose.go
+++ b/entry/picker/choose.go
@@ -139,7 +139,7 @@
 	t := p.targetTable.Load()
 	current, ok := t.roster.Get(target.Name)
 	return ok && !current.Leaving && current.Follows(target) &&
-		!t.states[target.Name].healthStatus.Load().Suspect(time.Now())
+		!t.states[target.Name].healthStatus.Load().IsSuspect(time.Now())
 }
 
 // Sound picks a given target for a stream if IsSound holds for it.
@@ -192,24 +192,24 @@
 
 // Failed records that the target failed the request although it was reachable.
 func (k *Pick) Failed() {
-	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithFailure(time.Now()) })
+	k.targetState.updateHealth(func(e health.Estimate) health.Estimate { return e.WithFailure(time.Now()) })
 }
 
 // Gone records that another target answered at the address, so that this one has ended. It returns whether that was
 // not known before.
 func (k *Pick) Gone() bool {
-	alreadyGone := k.targetState.healthStatus.Load().Gone()
-	if !alreadyGone {
+	wasReplaced := k.targetState.healthStatus.Load().IsReplaced()
+	if !wasReplaced {
 		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "address": k.Target.Address, "revision": k.Target.Revision}).Warn("another target answers at the address; this one gets no more requests")
 	}
-	k.targetState.updateHealth(health.Belief.WithEnd)
-	return !alreadyGone
+	k.targetState.updateHealth(health.Estimate.WithReplacement)
+	return !wasReplaced
 }
 
 // Heard records that the target sent something, so that it is no longer suspect.
 func (k *Pick) Heard() {
-	if k.targetState.healthStatus.Load().Suspect(time.Now()) {
-		k.targetState.updateHealth(health.Belief.WithLife)
+	if k.targetState.healthStatus.Load().IsSuspect(time.Now()) {
+		k.targetState.updateHealth(health.Estimate.WithSignOfLife)
 	}
 }
 
@@ -222,8 +222,8 @@
 func (k *Pick) Lost(cause string) {
 	k.picker.targetsLost.Inc()
 	k.picker.domainLostAt.Store(k.Target.Domain, time.Now())
-	wasSuspect := k.targetState.healthStatus.Load().Suspect(time.Now())
-	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithLoss(time.Now()) })
+	wasSuspect := k.targetState.healthStatus.Load().IsSuspect(time.Now())
+	k.targetState.updateHealth(func(e health.Estimate) health.Estimate { return e.WithLoss(time.Now()) })
 	if !wasSuspect {
 		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "domain": k.Target.Domain, "cause": cause}).Warn("target is suspect")
 	}
@@ -247,7 +247,7 @@
 
 // Succeeded records a complete answer.
 func (k *Pick) Succeeded(took time.Duration) {
-	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithSuccess(time.Now(), took) })
+	k.targetState.updateHealth(func(e health.Estimate) health.Estimate { return e.WithSuccess(time.Now(), took) })
 }
 
 // cost returns the cost of what all instances run on the target, and of the replicas that it keeps for them.
@@ -343,8 +343,8 @@
 		target := &open[i]
 		healthStatus := t.states[target.Name].healthStatus.Load()
 		switch {
-		case want.Avoid[target.Name] || healthStatus.Gone():
-		case healthStatus.Suspect(now):
+		case want.Avoid[target.Name] || healthStatus.IsReplaced():
+		case healthStatus.IsSuspect(now):
 			suspects = append(suspects, target)
 		default:
 			healthy = append(healthy, target)
--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -43,7 +43,7 @@
 	unreadTokens atomic.Int64                    // unreadTokens counts the prompt tokens still to be read.
 	replicas     atomic.Int64                    // replicas counts the replicas of this instance's streams.
 	remoteLoad   atomic.Pointer[wire.TargetLoad] // remoteLoad is the sum of what all other instances reported.
-	healthStatus atomic.Pointer[health.Belief]
+	healthStatus atomic.Pointer[health.Estimate]
 }
 
 // targetTable is the roster with the state of each target by name; its maps are never changed after construction.
@@ -169,7 +169,7 @@
 			continue
 		}
 		fresh := &targetState{target: target}
-		fresh.healthStatus.Store(&health.Belief{})
+		fresh.healthStatus.Store(&health.Estimate{})
 		fresh.remoteLoad.Store(&wire.TargetLoad{})
 		next[target.Name] = fresh
 	}
@@ -181,7 +181,7 @@
 	now := time.Now()
 	count := 0
 	for _, s := range p.targetTable.Load().states {
-		if s.healthStatus.Load().Suspect(now) {
+		if s.healthStatus.Load().IsSuspect(now) {
 			count++
 		}
 	}
@@ -189,6 +189,6 @@
 }
 
 // updateHealth replaces the health of a target by the result of change, which may be called more than once.
-func (s *targetState) updateHealth(change func(health.Belief) health.Belief) {
-	cell.Swap(&s.healthStatus, func(b health.Belief) (health.Belief, bool) { return change(b), true })
+func (s *targetState) updateHealth(change func(health.Estimate) health.Estimate) {
+	cell.Swap(&s.healthStatus, func(e health.Estimate) (health.Estimate, bool) { return change(e), true })
 }
