--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -18,8 +18,8 @@
 	retries  [windowSeconds]int
 }
 
-// Count returns the number of requests and of retries in the window.
-func (w Window) Count(now time.Duration) (requests, retries int) {
+// Counts returns the number of requests and of retries in the window.
+func (w Window) Counts(now time.Duration) (requests, retries int) {
 	w = w.advancedTo(now)
 	for i := range windowSeconds {
 		requests += w.requests[i]
@@ -28,16 +28,16 @@
 	return requests, retries
 }
 
-// Left returns the number of retries that are still allowed.
-func (w Window) Left(now time.Duration, b Bound) int {
-	requests, retries := w.Count(now)
+// RetriesLeft returns the number of retries that are still allowed.
+func (w Window) RetriesLeft(now time.Duration, b Bound) int {
+	requests, retries := w.Counts(now)
 	return int(b.Ratio*float64(requests)) + b.Slack - retries
 }
 
 // Overdraft bounds the retries of one instance beyond its share while all instances together are far below their bound.
 type Overdraft struct {
-	Requests int // Requests and Repeats are those of all other instances, as last reported.
-	Repeats  int
+	Requests int // Requests and Retries are those of all other instances, as last reported.
+	Retries  int
 	Fleet    Bound // Fleet is the bound of all instances together.
 	Own      Bound // Own is this instance's share.
 }
@@ -51,20 +51,10 @@
 // allow it.
 func (w Window) WithOverdraft(now time.Duration, o Overdraft) (Window, bool) {
 	w = w.advancedTo(now)
-	requests, retries := w.Count(now)
+	requests, retries := w.Counts(now)
 	fleetBound := o.Fleet.Ratio*float64(requests+o.Requests) + float64(o.Fleet.Slack)
 	ownBound := o.Own.Ratio*float64(requests) + float64(o.Own.Slack) + 1
-	if float64(retries+o.Repeats+1) > maxFleetShare*fleetBound || float64(retries+1) > maxOwnFactor*ownBound {
-		return w, false
-	}
-	w.retries[w.second%windowSeconds]++
-	return w, true
-}
-
-// WithRepeat returns the window after one more retry, or false if the bound does not allow it.
-func (w Window) WithRepeat(now time.Duration, b Bound) (Window, bool) {
-	w = w.advancedTo(now)
-	if w.Left(now, b) < 1 {
+	if float64(retries+o.Retries+1) > maxFleetShare*fleetBound || float64(retries+1) > maxOwnFactor*ownBound {
 		return w, false
 	}
 	w.retries[w.second%windowSeconds]++
@@ -78,6 +68,16 @@
 	return w
 }
 
+// WithRetry returns the window after one more retry, or false if the bound does not allow it.
+func (w Window) WithRetry(now time.Duration, b Bound) (Window, bool) {
+	w = w.advancedTo(now)
+	if w.RetriesLeft(now, b) < 1 {
+		return w, false
+	}
+	w.retries[w.second%windowSeconds]++
+	return w, true
+}
+
 // advancedTo returns the window moved forward to a time on the monotonic clock.
 func (w Window) advancedTo(now time.Duration) Window {
 	second := int64(now / time.Second)
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -7,7 +7,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestWithRepeat(t *testing.T) {
+func TestWithRetry(t *testing.T) {
 	cases := map[string]struct {
 		requests int
 		retries  int
@@ -31,14 +31,14 @@
 			}
 			allowed := 0
 			for range test.retries {
-				next, ok := w.WithRepeat(now+test.delay, test.bound)
+				next, ok := w.WithRetry(now+test.delay, test.bound)
 				if ok {
 					allowed++
 				}
 				w = next
 			}
 			quicktest.Assert(t, allowed, quicktest.Equals, test.want)
-			quicktest.Assert(t, w.Left(now+test.delay, test.bound), quicktest.Equals, 0)
+			quicktest.Assert(t, w.RetriesLeft(now+test.delay, test.bound), quicktest.Equals, 0)
 		})
 	}
 }
@@ -67,7 +67,7 @@
 			}
 			allowed := 0
 			for range test.tries {
-				next, ok := w.WithOverdraft(time.Minute, Overdraft{Requests: test.otherRequests, Repeats: test.otherRetries, Fleet: fleet, Own: own})
+				next, ok := w.WithOverdraft(time.Minute, Overdraft{Requests: test.otherRequests, Retries: test.otherRetries, Fleet: fleet, Own: own})
 				if ok {
 					allowed++
 				}
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -170,11 +170,11 @@
 	ok := cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
 		now := time.Since(s.startedAt)
 		ownShare := s.settings.Retries()
-		if next, ok := w.WithRepeat(now, ownShare); ok {
+		if next, ok := w.WithRetry(now, ownShare); ok {
 			return next, true
 		}
 		used := s.Picker.Used(service)
-		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Repeats: used.Repeats, Fleet: s.settings.Fleet, Own: ownShare})
+		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Retries: used.Repeats, Fleet: s.settings.Fleet, Own: ownShare})
 	})
 	if ok {
 		s.Counts.Repeats.Inc()
@@ -188,8 +188,8 @@
 func (s *Sender) recentUsage() []wire.Usage {
 	var recentUsage []wire.Usage
 	s.retryWindows.Range(func(service, w any) bool {
-		requests, repeats := w.(*atomic.Pointer[retry.Window]).Load().Count(time.Since(s.startedAt))
-		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Repeats: repeats})
+		requests, retries := w.(*atomic.Pointer[retry.Window]).Load().Counts(time.Since(s.startedAt))
+		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Repeats: retries})
 		return true
 	})
 	return recentUsage
