--- a/lab/internal/soak/caller.go
+++ b/lab/internal/soak/caller.go
@@ -14,8 +14,8 @@
 const (
 	callerDeadline        = 8 * time.Second
 	meanCallerPause       = 20 * time.Millisecond // meanCallerPause is the mean time between two requests of a caller.
-	maxIdempotentAttempts = 2                     // maxIdempotentAttempts is max_attempts of idempotent routes.
-	maxStreamAttempts     = 5                     // maxStreamAttempts is max_attempts of streaming routes.
+	maxIdempotentAttempts = 2                     // maxIdempotentAttempts is the attempts of idempotent routes.
+	maxStreamAttempts     = 5                     // maxStreamAttempts is the attempts of streaming routes.
 	eventsPerStream       = 60                    // eventsPerStream is also in behaviourOf.
 )
 
