--- a/core/site/config.go
+++ b/core/site/config.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// Repeat says whether a route's requests may be sent more than once.
-// It is a sealed interface: Idempotent, Once and Stream implement it.
-type Repeat interface {
-	isRepeat()
+// RetryPolicy says whether a route's requests may be sent more than once.
+// It is a sealed interface: Idempotent, AtMostOnce and Stream implement it.
+type RetryPolicy interface {
+	isRetryPolicy()
 }
 
 // Idempotent requests may run any number of times.
 type Idempotent struct{}
 
-// Once requests run at most once.
-type Once struct{}
+// AtMostOnce requests run at most once.
+type AtMostOnce struct{}
 
 // Stream requests are answered by a stream of events.
 type Stream struct {
 	Resumable bool          // Resumable streams may continue on another target after their last event.
-	Pause     time.Duration // Pause is the longest gap between events that counts as on time.
+	MaxGap    time.Duration // MaxGap is the longest gap between events that counts as on time.
 }
 
-func (Idempotent) isRepeat() {}
-func (Once) isRepeat()       {}
-func (Stream) isRepeat()     {}
+func (Idempotent) isRetryPolicy() {}
+func (AtMostOnce) isRetryPolicy() {}
+func (Stream) isRetryPolicy()     {}
 
 // Route maps the requests to one host and path prefix to services.
 type Route struct {
-	Name     string
-	Host     string
-	Prefix   string // Prefix begins and ends with a slash.
-	Repeat   Repeat
-	Timeout  time.Duration // Timeout bounds the wait for the complete response; 0 means no timeout.
-	Aim      time.Duration // Aim is the latency up to which a response counts as on time.
-	Attempts int           // Attempts limits the targets that one request is sent to.
-	Priority int           // Priority ranks requests; 0 is the most urgent.
-	Public   bool          // Public routes need no key.
-	Shares   []Share
-}
-
-// Share is the weight of one service among those that serve a route.
-type Share struct {
+	Name        string
+	Host        string
+	Prefix      string // Prefix begins and ends with a slash.
+	RetryPolicy RetryPolicy
+	Timeout     time.Duration // Timeout bounds the wait for the complete response; 0 means no timeout.
+	LatencyGoal time.Duration // LatencyGoal is the latency up to which a response counts as on time.
+	MaxAttempts int           // MaxAttempts limits the targets that one request is sent to.
+	Priority    int           // Priority ranks requests; 0 is the most urgent.
+	Public      bool          // Public routes need no key.
+	Services    []WeightedService
+}
+
+// WeightedService is the weight of one service among those that serve a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -58,25 +58,25 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots  int
-	Memory int           // Memory is the capacity of one engine, in tokens.
-	Copies bool          // Copies is set if engines keep replicas of each other's running generations.
-	Keep   time.Duration // Keep is how long an engine keeps a replica after the generation's end.
+	Slots          int
+	CapacityTokens int           // CapacityTokens is the capacity of one engine, in tokens.
+	KeepsReplicas  bool          // KeepsReplicas is set if engines keep replicas of each other's running generations.
+	ReplicaTTL     time.Duration // ReplicaTTL is how long an engine keeps a replica after the generation's end.
 }
 
 // Organisation is a caller.
 type Organisation struct {
-	Name     string
-	Priority int  // Priority overrides the route's priority.
-	Ranked   bool // Ranked is set if Priority is given.
+	Name        string
+	Priority    int  // Priority overrides the route's priority.
+	HasPriority bool // HasPriority is set if Priority is given.
 }
 
 // Limits bound what callers may send.
 type Limits struct {
-	Header        int // Header limits the headers, in bytes.
-	Body          int // Body limits the body, in bytes.
+	HeaderBytes   int // HeaderBytes limits the headers, in bytes.
+	BodyBytes     int // BodyBytes limits the body, in bytes.
 	HeaderTimeout time.Duration
-	Idle          time.Duration // Idle is how long a caller's connection may stay idle.
+	IdleTimeout   time.Duration // IdleTimeout is how long a caller's connection may stay idle.
 }
 
 // Config is one version of the whole configuration. It is immutable.
@@ -95,14 +95,8 @@
 	return &Config{Version: version, Revision: revision, Limits: limits}
 }
 
-// Caller returns the organisation that holds a key.
-func (c *Config) Caller(key string) (Organisation, bool) {
-	o, ok := c.organisations[key]
-	return o, ok
-}
-
-// IsOnlyEngine reports whether the service is the only one that has model engines.
-func (c *Config) IsOnlyEngine(name string) bool {
+// IsOnlyEngineService reports whether the service is the only one that has model engines.
+func (c *Config) IsOnlyEngineService(name string) bool {
 	for _, s := range c.services {
 		if (s.Engine != nil) != (s.Name == name) {
 			return false
@@ -112,13 +106,8 @@
 	return ok
 }
 
-// Keyed reports whether callers need keys at all.
-func (c *Config) Keyed() bool {
-	return c.requiresKeys
-}
-
-// Match returns the host's route with the longest prefix that matches the path.
-func (c *Config) Match(host, path string) (Route, bool) {
+// MatchRoute returns the host's route with the longest prefix that matches the path.
+func (c *Config) MatchRoute(host, path string) (Route, bool) {
 	for _, r := range c.routes[normaliseHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
@@ -127,6 +116,17 @@
 	return Route{}, false
 }
 
+// OrganisationByKey returns the organisation that holds a key.
+func (c *Config) OrganisationByKey(key string) (Organisation, bool) {
+	o, ok := c.organisations[key]
+	return o, ok
+}
+
+// RequiresKeys reports whether callers need keys at all.
+func (c *Config) RequiresKeys() bool {
+	return c.requiresKeys
+}
+
 // Service returns a service by name.
 func (c *Config) Service(name string) (Service, bool) {
 	s, ok := c.services[name]
@@ -165,23 +165,23 @@
 	return &next
 }
 
-// Pick chooses a service by weight; draw is a random number of at least 0 and below 1.
-func (r Route) Pick(draw float64) string {
+// PickService chooses a service by weight; draw is a random number of at least 0 and below 1.
+func (r Route) PickService(draw float64) string {
 	total := 0.0
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		total += s.Weight
 	}
 	remaining := draw * total
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		remaining -= s.Weight
 		if remaining < 0 && s.Weight > 0 {
 			return s.Service
 		}
 	}
-	if len(r.Shares) == 0 {
+	if len(r.Services) == 0 {
 		return ""
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
 
 // normaliseHost returns the host in lower case without its port.
--- a/core/site/site_test.go
+++ b/core/site/site_test.go
@@ -7,7 +7,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestMatch(t *testing.T) {
+func TestMatchRoute(t *testing.T) {
 	c := NewConfig("1", 1, Limits{}).WithRoutes([]Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -27,36 +27,36 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			r, ok := c.Match(test.host, test.path)
+			r, ok := c.MatchRoute(test.host, test.path)
 			quicktest.Assert(t, ok, quicktest.Equals, test.want != "")
 			quicktest.Assert(t, r.Name, quicktest.Equals, test.want)
 		})
 	}
 }
 
-func TestPick(t *testing.T) {
-	shares := []Share{{"a", 90}, {"b", 10}, {"c", 0}}
+func TestPickService(t *testing.T) {
+	services := []WeightedService{{"a", 90}, {"b", 10}, {"c", 0}}
 	cases := map[string]struct {
-		shares []Share
-		draw   float64
-		want   string
+		services []WeightedService
+		draw     float64
+		want     string
 	}{
-		"draw-of-zero":            {shares, 0, "a"},
-		"just-below-first-weight": {shares, 0.899, "a"},
-		"just-above-first-weight": {shares, 0.901, "b"},
-		"zero-weight-is-skipped":  {shares, 0.999, "b"},
-		"one-service":             {[]Share{{"a", 1}}, 0.7, "a"},
+		"draw-of-zero":            {services, 0, "a"},
+		"just-below-first-weight": {services, 0.899, "a"},
+		"just-above-first-weight": {services, 0.901, "b"},
+		"zero-weight-is-skipped":  {services, 0.999, "b"},
+		"one-service":             {[]WeightedService{{"a", 1}}, 0.7, "a"},
 		"no-service":              {nil, 0.5, ""},
-		"no-weights":              {[]Share{{"a", 0}, {"b", 0}}, 0.5, "b"},
+		"no-weights":              {[]WeightedService{{"a", 0}, {"b", 0}}, 0.5, "b"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Assert(t, Route{Shares: test.shares}.Pick(test.draw), quicktest.Equals, test.want)
+			quicktest.Assert(t, Route{Services: test.services}.PickService(test.draw), quicktest.Equals, test.want)
 		})
 	}
 }
 
-func TestRoster(t *testing.T) {
+func TestTargetSet(t *testing.T) {
 	start := time.Unix(1000, 0)
 	a := Target{Name: "a", Service: "s", Address: "1", Revision: 1}
 	b := Target{Name: "b", Service: "s", Address: "2", Revision: 2}
@@ -82,12 +82,12 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := &Roster{}
+			set := &TargetSet{}
 			for _, s := range test.steps {
-				r = r.WithTargets(s.targets, start.Add(s.elapsed), s.retention)
+				set = set.WithTargets(s.targets, start.Add(s.elapsed), s.retention)
 			}
 			var got []string
-			for _, target := range r.Open("s") {
+			for _, target := range set.Available("s") {
 				got = append(got, target.Name)
 			}
 			quicktest.Assert(t, got, quicktest.DeepEquals, test.want)
@@ -95,22 +95,22 @@
 	}
 }
 
-func TestMoved(t *testing.T) {
-	before := Target{Name: "a", Service: "s", Address: "1", Started: 1}
+func TestEndedSince(t *testing.T) {
+	before := Target{Name: "a", Service: "s", Address: "1", StartID: 1}
 	cases := map[string]struct {
 		targets []Target
 		want    bool
 	}{
 		"same":          {[]Target{before}, false},
 		"removed":       {nil, true},
-		"restarted":     {[]Target{{Name: "a", Service: "s", Address: "1", Started: 2}}, true},
-		"other-address": {[]Target{{Name: "a", Service: "s", Address: "2", Started: 1}}, true},
-		"leaving":       {[]Target{{Name: "a", Service: "s", Address: "1", Started: 1, Leaving: true}}, false},
+		"restarted":     {[]Target{{Name: "a", Service: "s", Address: "1", StartID: 2}}, true},
+		"other-address": {[]Target{{Name: "a", Service: "s", Address: "2", StartID: 1}}, true},
+		"leaving":       {[]Target{{Name: "a", Service: "s", Address: "1", StartID: 1, Leaving: true}}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			old := (&Roster{}).WithTargets([]Target{before}, time.Now(), 0)
-			quicktest.Assert(t, old.WithTargets(test.targets, time.Now(), 0).Moved(old)["a"], quicktest.Equals, test.want)
+			old := (&TargetSet{}).WithTargets([]Target{before}, time.Now(), 0)
+			quicktest.Assert(t, old.WithTargets(test.targets, time.Now(), 0).EndedSince(old)["a"], quicktest.Equals, test.want)
 		})
 	}
 }
--- a/core/site/successor.go
+++ b/core/site/successor.go
@@ -12,10 +12,10 @@
 
 // Successor is a target found at the address of another target of its service before the platform listed it.
 type Successor struct {
-	Of     Target // Of is the predecessor: the target that was at the address before.
-	Name   string
-	Found  time.Time
-	listed bool // The platform has listed the successor since; from then on only the list counts.
+	Predecessor Target // Predecessor is the target that was at the address before.
+	Name        string
+	FoundAt     time.Time
+	listed      bool // The platform has listed the successor since; from then on only the list counts.
 }
 
 // Successors is a set of successors, one for each predecessor. It is immutable.
@@ -48,16 +48,16 @@
 	next := Successors{byPredecessor: make(map[string]Successor)}
 	for _, t := range targets {
 		successor, ok := s.byPredecessor[t.Name]
-		if !ok || successor.Of.Started != t.Started || successor.Of.Address != t.Address {
+		if !ok || successor.Predecessor.StartID != t.StartID || successor.Predecessor.Address != t.Address {
 			applied = append(applied, t)
 			continue
 		}
 		successor.listed = successor.listed || listed[successor.Name]
 		next.byPredecessor[t.Name] = successor
-		if successor.listed || authoritative && now.Sub(successor.Found) > unlistedTTL {
+		if successor.listed || authoritative && now.Sub(successor.FoundAt) > unlistedTTL {
 			continue
 		}
-		t.Name, t.Started, t.Leaving = successor.Name, 0, false
+		t.Name, t.StartID, t.Leaving = successor.Name, 0, false
 		applied = append(applied, t)
 	}
 	return applied, next
@@ -67,18 +67,18 @@
 // A successor of a successor is stored under the predecessor that the platform lists.
 func (s Successors) WithSuccessor(successor Successor) (Successors, bool) {
 	for _, known := range s.byPredecessor {
-		if known.Name == successor.Of.Name && known.Of.Address == successor.Of.Address {
-			successor.Of = known.Of
+		if known.Name == successor.Predecessor.Name && known.Predecessor.Address == successor.Predecessor.Address {
+			successor.Predecessor = known.Predecessor
 		}
 	}
-	known, ok := s.byPredecessor[successor.Of.Name]
-	if ok && (known.Name == successor.Name || !successor.Found.After(known.Found)) {
+	known, ok := s.byPredecessor[successor.Predecessor.Name]
+	if ok && (known.Name == successor.Name || !successor.FoundAt.After(known.FoundAt)) {
 		return s, false
 	}
 	updated := maps.Clone(s.byPredecessor)
 	if updated == nil {
 		updated = make(map[string]Successor)
 	}
-	updated[successor.Of.Name] = successor
+	updated[successor.Predecessor.Name] = successor
 	return Successors{byPredecessor: updated}, true
 }
--- a/core/site/successor_test.go
+++ b/core/site/successor_test.go
@@ -9,17 +9,17 @@
 
 func TestSuccessors(t *testing.T) {
 	now := time.Now()
-	a := Target{Name: "a", Service: "s", Address: "1", Domain: "x", Started: 7, Revision: 3}
-	b := Target{Name: "b", Service: "s", Address: "2", Domain: "y", Started: 8, Revision: 4}
+	a := Target{Name: "a", Service: "s", Address: "1", Domain: "x", StartID: 7, Revision: 3}
+	b := Target{Name: "b", Service: "s", Address: "2", Domain: "y", StartID: 8, Revision: 4}
 	successor := func(of Target, name string, age time.Duration) Successor {
-		return Successor{Of: of, Name: name, Found: now.Add(-age)}
+		return Successor{Predecessor: of, Name: name, FoundAt: now.Add(-age)}
 	}
 	replacedBy := func(t Target, name string) Target {
-		t.Name, t.Started = name, 0
+		t.Name, t.StartID = name, 0
 		return t
 	}
 	restarted := a
-	restarted.Started = 9
+	restarted.StartID = 9
 	moved := a
 	moved.Address = "3"
 	leaving := a
@@ -63,21 +63,21 @@
 	}
 }
 
-func TestFollows(t *testing.T) {
-	old := Target{Name: "a", Address: "1", Started: 7}
+func TestIsSameStart(t *testing.T) {
+	old := Target{Name: "a", Address: "1", StartID: 7}
 	cases := map[string]struct {
 		old, now Target
 		want     bool
 	}{
 		"same":                {old, old, true},
-		"restarted":           {old, Target{Name: "a", Address: "1", Started: 8}, false},
-		"moved":               {old, Target{Name: "a", Address: "2", Started: 7}, false},
+		"restarted":           {old, Target{Name: "a", Address: "1", StartID: 8}, false},
+		"moved":               {old, Target{Name: "a", Address: "2", StartID: 7}, false},
 		"start-becomes-known": {Target{Name: "a", Address: "1"}, old, true},
-		"another":             {old, Target{Name: "b", Address: "1", Started: 7}, false},
+		"another":             {old, Target{Name: "b", Address: "1", StartID: 7}, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Assert(t, test.now.Follows(test.old), quicktest.Equals, test.want)
+			quicktest.Assert(t, test.now.IsSameStart(test.old), quicktest.Equals, test.want)
 		})
 	}
 }
--- a/core/site/target.go
+++ b/core/site/target.go
@@ -15,48 +15,68 @@
 	Domain   string
 	Slots    int
 	Leaving  bool  // Leaving targets are draining and get no new work.
-	Started  int64 // Started differs between two starts of a target under the same name; 0 is not known yet.
+	StartID  int64 // StartID differs between two starts of a target under the same name; 0 is not known yet.
 	Revision uint64
 }
 
-// Follows reports whether t declares the same target as old, at the same address and not restarted since.
+// IsSameStart reports whether t declares the same target as old, at the same address and not restarted since.
 // If old's start is unknown, any start matches.
-func (t Target) Follows(old Target) bool {
-	return t.Name == old.Name && t.Address == old.Address && (t.Started == old.Started || old.Started == 0)
+func (t Target) IsSameStart(old Target) bool {
+	return t.Name == old.Name && t.Address == old.Address && (t.StartID == old.StartID || old.StartID == 0)
 }
 
-// Roster is the set of known targets. It is immutable.
-type Roster struct {
+// TargetSet is the set of known targets. It is immutable.
+type TargetSet struct {
 	targets            map[string]Target // By name.
 	missingSince       map[string]time.Time
 	availableByService map[string][]Target
 }
 
 // All returns all targets in no particular order.
-func (r *Roster) All() []Target {
-	return slices.Collect(maps.Values(r.targets))
+func (s *TargetSet) All() []Target {
+	return slices.Collect(maps.Values(s.targets))
+}
+
+// Available returns the targets of a service that are not draining, sorted by name.
+func (s *TargetSet) Available(service string) []Target {
+	return s.availableByService[service]
+}
+
+// EndedSince returns the names of old's targets that were removed, restarted or took another address since.
+func (s *TargetSet) EndedSince(old *TargetSet) map[string]bool {
+	ended := make(map[string]bool)
+	if old == nil {
+		return ended
+	}
+	for name, before := range maps.All(old.targets) {
+		current, ok := s.targets[name]
+		if !ok || !current.IsSameStart(before) {
+			ended[name] = true
+		}
+	}
+	return ended
 }
 
 // Get returns a target by name.
-func (r *Roster) Get(name string) (Target, bool) {
-	t, ok := r.targets[name]
+func (s *TargetSet) Get(name string) (Target, bool) {
+	t, ok := s.targets[name]
 	return t, ok
 }
 
-// Len returns the number of targets.
-func (r *Roster) Len() int {
-	return len(r.targets)
+// HasMissing reports whether the set keeps targets that are no longer listed.
+func (s *TargetSet) HasMissing() bool {
+	return len(s.missingSince) > 0
 }
 
-// Open returns the targets of a service that are not draining, sorted by name.
-func (r *Roster) Open(service string) []Target {
-	return r.availableByService[service]
+// Len returns the number of targets.
+func (s *TargetSet) Len() int {
+	return len(s.targets)
 }
 
-// WithTargets returns a roster of the given targets.
-// A target that only r has is kept until the retention time has passed since it was first missing.
-func (r *Roster) WithTargets(targets []Target, now time.Time, retention time.Duration) *Roster {
-	next := &Roster{
+// WithTargets returns a set of the given targets.
+// A target that only s has is kept until the retention time has passed since it was first missing.
+func (s *TargetSet) WithTargets(targets []Target, now time.Time, retention time.Duration) *TargetSet {
+	next := &TargetSet{
 		targets:            make(map[string]Target, len(targets)),
 		missingSince:       make(map[string]time.Time),
 		availableByService: make(map[string][]Target),
@@ -64,8 +84,8 @@
 	for _, t := range newestByAddress(targets) {
 		next.targets[t.Name] = t
 	}
-	if r != nil && retention > 0 {
-		next.retainMissing(r, now, retention)
+	if s != nil && retention > 0 {
+		next.retainMissing(s, now, retention)
 	}
 	for _, t := range next.targets {
 		if !t.Leaving {
@@ -78,35 +98,15 @@
 	return next
 }
 
-// Lapsed reports whether the roster keeps targets that are no longer listed.
-func (r *Roster) Lapsed() bool {
-	return len(r.missingSince) > 0
-}
-
-// Moved returns the names of old's targets that were removed, restarted or took another address since.
-func (r *Roster) Moved(old *Roster) map[string]bool {
-	ended := make(map[string]bool)
-	if old == nil {
-		return ended
-	}
-	for name, before := range maps.All(old.targets) {
-		current, ok := r.targets[name]
-		if !ok || !current.Follows(before) {
-			ended[name] = true
-		}
-	}
-	return ended
-}
-
-// retainMissing adds those targets of an older roster that are not draining, went missing less than the
+// retainMissing adds those targets of an older set that are not draining, went missing less than the
 // retention time ago and whose address no listed target uses.
-func (r *Roster) retainMissing(old *Roster, now time.Time, retention time.Duration) {
-	usedAddresses := make(map[string]bool, len(r.targets))
-	for _, t := range r.targets {
+func (s *TargetSet) retainMissing(old *TargetSet, now time.Time, retention time.Duration) {
+	usedAddresses := make(map[string]bool, len(s.targets))
+	for _, t := range s.targets {
 		usedAddresses[t.Address] = true
 	}
 	for name, t := range old.targets {
-		if _, listed := r.targets[name]; listed || usedAddresses[t.Address] || t.Leaving {
+		if _, listed := s.targets[name]; listed || usedAddresses[t.Address] || t.Leaving {
 			continue
 		}
 		since, ok := old.missingSince[name]
@@ -114,8 +114,8 @@
 			since = now
 		}
 		if now.Sub(since) < retention {
-			r.targets[name] = t
-			r.missingSince[name] = since
+			s.targets[name] = t
+			s.missingSince[name] = since
 		}
 	}
 }
--- a/entry/filter/locate.go
+++ b/entry/filter/locate.go
@@ -44,16 +44,16 @@
 		)
 	}
 	path, _, _ := strings.Cut(forward.Path, "?")
-	route, ok := config.Match(forward.Host, path)
+	route, ok := config.MatchRoute(forward.Host, path)
 	if !ok {
 		return chain.Refuse(deny.New(deny.KindUnknown, "no route matches at version %s", config.Version))
 	}
 	c = c.WithRoute(config, route).WithUrgency(route.Priority)
-	if !config.Keyed() {
+	if !config.RequiresKeys() {
 		return next(ctx, c)
 	}
-	caller, ok := config.Caller(c.Credential)
-	if ok && caller.Ranked {
+	caller, ok := config.OrganisationByKey(c.Credential)
+	if ok && caller.HasPriority {
 		c = c.WithUrgency(caller.Priority)
 	}
 	if ok {
--- a/entry/filter/trace.go
+++ b/entry/filter/trace.go
@@ -79,7 +79,7 @@
 		line.WithFields(log.Fields{
 			"status": a.Head.Status,
 			"sends":  a.Sends,
-			"aim-ms": routed.Route.Aim.Milliseconds(),
+			"aim-ms": routed.Route.LatencyGoal.Milliseconds(),
 		}).Info(message)
 	case chain.Finished:
 		line.WithFields(log.Fields{
@@ -99,7 +99,7 @@
 
 // classify returns the log message for an answer, and whether it is always logged because the call is not ordinary.
 func (t *Trace) classify(c chain.Call, answer chain.Answer, duration time.Duration) (message string, always bool) {
-	aim := c.Route.Aim
+	goal := c.Route.LatencyGoal
 	switch a := answer.(type) {
 	case chain.Passed:
 		switch {
@@ -107,14 +107,14 @@
 			return "passed on the target's failure", true
 		case a.Sends > 1:
 			return "answered after a retry", true
-		case aim > 0 && duration > aim && !isStream(c):
+		case goal > 0 && duration > goal && !isStream(c):
 			return "answered late", true
 		}
 		return "answered", false
 	case chain.Finished:
-		stream, _ := c.Route.Repeat.(site.Stream)
+		stream, _ := c.Route.RetryPolicy.(site.Stream)
 		switch {
-		case aim > 0 && a.First > aim || stream.Pause > 0 && a.Pause > stream.Pause:
+		case goal > 0 && a.First > goal || stream.MaxGap > 0 && a.Pause > stream.MaxGap:
 			return "stream finished late", true
 		case a.Resumed > 0:
 			return "stream finished after being resumed", true
@@ -140,7 +140,7 @@
 
 // isStream reports whether a call's route is answered by a stream of events.
 func isStream(c chain.Call) bool {
-	_, ok := c.Route.Repeat.(site.Stream)
+	_, ok := c.Route.RetryPolicy.(site.Stream)
 	return ok
 }
 
--- a/entry/filter/trace_test.go
+++ b/entry/filter/trace_test.go
@@ -16,8 +16,8 @@
 )
 
 func TestTrace(t *testing.T) {
-	plain := site.Route{Name: "plain", Repeat: site.Idempotent{}, Aim: 100 * time.Millisecond}
-	stream := site.Route{Name: "stream", Repeat: site.Stream{Pause: 700 * time.Millisecond}, Aim: time.Second}
+	plain := site.Route{Name: "plain", RetryPolicy: site.Idempotent{}, LatencyGoal: 100 * time.Millisecond}
+	stream := site.Route{Name: "stream", RetryPolicy: site.Stream{MaxGap: 700 * time.Millisecond}, LatencyGoal: time.Second}
 	const calls = 40
 	cases := map[string]struct {
 		route  site.Route
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -99,14 +99,14 @@
 		call:           c,
 		request:        f,
 		policy:         policy,
-		service:        c.Route.Pick(rand.Float64()),
+		service:        c.Route.PickService(rand.Float64()),
 		avoidedTargets: make(map[string]bool),
 		lastEventID:    f.LastEvent,
 	}
 	if service, ok := c.Site.Service(s.service); ok && service.Engine != nil {
-		s.canReplicate = service.Engine.Copies && policy.Resumable
-		s.memoryTokens = service.Engine.Memory
-		s.replicaRefreshAge = time.Duration(replicaRefreshRatio * float64(service.Engine.Keep))
+		s.canReplicate = service.Engine.KeepsReplicas && policy.Resumable
+		s.memoryTokens = service.Engine.CapacityTokens
+		s.replicaRefreshAge = time.Duration(replicaRefreshRatio * float64(service.Engine.ReplicaTTL))
 	}
 	return s
 }
@@ -236,7 +236,7 @@
 	switch {
 	case s.mayHaveRun && !s.policy.Resumable:
 		reason = "its target failed and it may not be resumed"
-	case s.sendCount >= s.call.Route.Attempts:
+	case s.sendCount >= s.call.Route.MaxAttempts:
 		reason = "its attempts are used up"
 	case !s.sender.Repeat(s.service):
 		reason = "the retry bound is reached"
--- a/entry/inst/inst.go
+++ b/entry/inst/inst.go
@@ -286,12 +286,12 @@
 		filter.Noted{},
 	)
 	limits := i.board.Config().Limits
-	conns := newIdleConns(func() time.Duration { return i.board.Config().Limits.Idle })
+	conns := newIdleConns(func() time.Duration { return i.board.Config().Limits.IdleTimeout })
 	i.addCloser(conns.Close)
 	callerServer := &http.Server{
 		Handler:           i.deps.Front(handler, i.board),
 		ReadHeaderTimeout: limits.HeaderTimeout,
-		MaxHeaderBytes:    limits.Header,
+		MaxHeaderBytes:    limits.HeaderBytes,
 		ConnState:         conns.trackState,
 	}
 	if err := i.serve(callerServer, members.Self().CallerAddress); err != nil {
--- a/entry/pass/errand.go
+++ b/entry/pass/errand.go
@@ -77,7 +77,7 @@
 		call:           c,
 		request:        f,
 		idempotent:     idempotent,
-		service:        c.Route.Pick(rand.Float64()),
+		service:        c.Route.PickService(rand.Float64()),
 		avoidedTargets: make(map[string]bool),
 	}
 }
@@ -134,7 +134,7 @@
 	switch {
 	case !u.idempotent && u.mayHaveRun:
 		return u.finalAnswer("its target failed"), true
-	case u.sendCount >= u.call.Route.Attempts:
+	case u.sendCount >= u.call.Route.MaxAttempts:
 		return u.finalAnswer("its attempts are used up"), true
 	case !u.sender.Repeat(u.service):
 		return u.finalAnswer("the retry bound is reached"), true
@@ -217,7 +217,7 @@
 // attemptTimeout returns how long to wait for one target: all the time left if no other may be tried after it.
 func (u *unaryCall) attemptTimeout(pick *picker.Pick) time.Duration {
 	timeLeft := send.Left(u.call, u.request)
-	if !u.idempotent || u.sendCount+1 >= u.call.Route.Attempts {
+	if !u.idempotent || u.sendCount+1 >= u.call.Route.MaxAttempts {
 		return timeLeft
 	}
 	return min(timeLeft, max(minAttemptTimeout, attemptTimeoutFactor*pick.Latency()))
--- a/entry/pass/pass.go
+++ b/entry/pass/pass.go
@@ -26,12 +26,12 @@
 	if !ok {
 		return chain.Refuse(deny.New(deny.KindMalformed, "request of another kind"))
 	}
-	if r, ok := c.Route.Repeat.(site.Stream); ok {
+	if r, ok := c.Route.RetryPolicy.(site.Stream); ok {
 		return flight.Run(ctx, p.sender, c, f, r)
 	}
 	ctx, cancel := context.WithDeadline(ctx, send.Limit(c, f))
 	defer cancel()
-	switch c.Route.Repeat.(type) {
+	switch c.Route.RetryPolicy.(type) {
 	case site.Idempotent:
 		return newUnaryCall(p.sender, c, f, true).run(ctx)
 	default:
--- a/entry/picker/bench_test.go
+++ b/entry/picker/bench_test.go
@@ -21,7 +21,7 @@
 	p := New(source, func(string) {}, &log.Logger{Handler: discard.New()}, metrics.NewSet())
 	b.Cleanup(p.Close)
 	p.Name("self", 1)
-	for p.targetTable.Load().roster.Len() < targets {
+	for p.targetTable.Load().targetSet.Len() < targets {
 		time.Sleep(time.Millisecond)
 	}
 	loads := make([]wire.Load, instances)
--- a/entry/picker/choose.go
+++ b/entry/picker/choose.go
@@ -137,8 +137,8 @@
 // IsSound reports whether a target is neither removed, restarted, draining nor suspect.
 func (p *Picker) IsSound(target site.Target) bool {
 	t := p.targetTable.Load()
-	current, ok := t.roster.Get(target.Name)
-	return ok && !current.Leaving && current.Follows(target) &&
+	current, ok := t.targetSet.Get(target.Name)
+	return ok && !current.Leaving && current.IsSameStart(target) &&
 		!t.states[target.Name].healthStatus.Load().IsSuspect(time.Now())
 }
 
@@ -148,7 +148,7 @@
 		return nil, false
 	}
 	t := p.targetTable.Load()
-	current, ok := t.roster.Get(target.Name)
+	current, ok := t.targetSet.Get(target.Name)
 	if !ok {
 		return nil, false
 	}
@@ -336,11 +336,11 @@
 // there is none, the suspect ones that have not ended.
 func candidatesFor(t targetTable, want Want) []*site.Target {
 	now := time.Now()
-	open := t.roster.Open(want.Service)
-	healthy := make([]*site.Target, 0, len(open))
+	available := t.targetSet.Available(want.Service)
+	healthy := make([]*site.Target, 0, len(available))
 	var suspects []*site.Target
-	for i := range open {
-		target := &open[i]
+	for i := range available {
+		target := &available[i]
 		healthStatus := t.states[target.Name].healthStatus.Load()
 		switch {
 		case want.Avoid[target.Name] || healthStatus.IsReplaced():
--- a/entry/picker/loads.go
+++ b/entry/picker/loads.go
@@ -83,7 +83,7 @@
 		load.Spent = (*localUsage)()
 	}
 	for _, successor := range p.successors.Load().Unlisted() {
-		load.Successors = append(load.Successors, wire.Successor{Name: successor.Name, Of: successor.Of.Name, Started: successor.Of.Started, Address: successor.Of.Address, Age: time.Since(successor.Found)})
+		load.Successors = append(load.Successors, wire.Successor{Name: successor.Name, Of: successor.Predecessor.Name, Started: successor.Predecessor.StartID, Address: successor.Predecessor.Address, Age: time.Since(successor.FoundAt)})
 	}
 	return load
 }
--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -46,10 +46,10 @@
 	healthStatus atomic.Pointer[health.Estimate]
 }
 
-// targetTable is the roster with the state of each target by name; its maps are never changed after construction.
+// targetTable is the set of targets with the state of each by name; its maps are never changed after construction.
 type targetTable struct {
-	roster *site.Roster
-	states map[string]*targetState
+	targetSet *site.TargetSet
+	states    map[string]*targetState
 }
 
 // Picker tracks the targets and chooses among them.
@@ -85,7 +85,7 @@
 		source:      source,
 		onRemoved:   onRemoved,
 		log:         logger,
-		targetTable: cell.New(targetTable{roster: (&site.Roster{}).WithTargets(nil, time.Now(), 0)}),
+		targetTable: cell.New(targetTable{targetSet: (&site.TargetSet{}).WithTargets(nil, time.Now(), 0)}),
 		successors:  cell.New(site.Successors{}),
 		startedAt:   time.Now(),
 		received:    make(map[string]loadReport),
@@ -93,7 +93,7 @@
 		targetsLost: set.GetOrCreateCounter("bramleywharf_targets_lost_total"),
 	}
 	p.reportTTL.Store(int64(minReportTTL))
-	set.NewGauge("bramleywharf_targets", func() float64 { return float64(p.targetTable.Load().roster.Len()) })
+	set.NewGauge("bramleywharf_targets", func() float64 { return float64(p.targetTable.Load().targetSet.Len()) })
 	set.NewGauge("bramleywharf_targets_suspect", p.suspectCount)
 	p.Loop = wait.Start(p.loop)
 	return p
@@ -105,7 +105,7 @@
 		changed := p.source.Changed()
 		p.reconcile()
 		var expiryCheck <-chan time.Time
-		if p.targetTable.Load().roster.Lapsed() || p.successors.Load().Len() > 0 {
+		if p.targetTable.Load().targetSet.HasMissing() || p.successors.Load().Len() > 0 {
 			expiryCheck = time.After(expiryCheckInterval)
 		}
 		select {
@@ -130,13 +130,13 @@
 		targets, s = s.Apply(targets, time.Now(), settled)
 		return s
 	})
-	var old, next *site.Roster
+	var old, next *site.TargetSet
 	p.targetTable.Update(func(t targetTable) targetTable {
-		old, next = t.roster, t.roster.WithTargets(targets, time.Now(), grace)
-		return targetTable{roster: next, states: states(t, next)}
+		old, next = t.targetSet, t.targetSet.WithTargets(targets, time.Now(), grace)
+		return targetTable{targetSet: next, states: states(t, next)}
 	})
 	p.sumsStale.Store(true) // New targets have no remote load yet.
-	for name := range next.Moved(old) {
+	for name := range next.EndedSince(old) {
 		previous, _ := old.Get(name)
 		p.onRemoved(previous.Address)
 		p.markEnded(name, time.Now())
@@ -146,7 +146,7 @@
 }
 
 // logChanges logs targets that were added or have started to drain.
-func (p *Picker) logChanges(old, next *site.Roster) {
+func (p *Picker) logChanges(old, next *site.TargetSet) {
 	for _, t := range next.All() {
 		previous, known := old.Get(t.Name)
 		fields := log.Fields{"target": t.Name, "address": t.Address, "service": t.Service, "domain": t.Domain, "revision": t.Revision}
@@ -159,12 +159,12 @@
 	}
 }
 
-// states returns the states of a roster's targets. A target that was not restarted keeps its previous state.
-func states(previous targetTable, roster *site.Roster) map[string]*targetState {
-	next := make(map[string]*targetState, roster.Len())
-	for _, target := range roster.All() {
+// states returns the states of the targets of a set. A target that was not restarted keeps its previous state.
+func states(previous targetTable, targetSet *site.TargetSet) map[string]*targetState {
+	next := make(map[string]*targetState, targetSet.Len())
+	for _, target := range targetSet.All() {
 		old, ok := previous.states[target.Name]
-		if ok && target.Follows(old.target) {
+		if ok && target.IsSameStart(old.target) {
 			next[target.Name] = old
 			continue
 		}
--- a/entry/picker/picker_test.go
+++ b/entry/picker/picker_test.go
@@ -122,9 +122,9 @@
 	pick.Release()
 }
 
-// target returns a target of the roster.
+// target returns a target of the set.
 func (p *Picker) target(name string) site.Target {
-	target, _ := p.targetTable.Load().roster.Get(name)
+	target, _ := p.targetTable.Load().targetSet.Get(name)
 	return target
 }
 
@@ -287,8 +287,8 @@
 // TestEndedIsNotAdopted checks that a target that was listed before and is not any more is not used as a successor,
 // whether it was found here or by a peer. An ended target still answers for a while.
 func TestEndedIsNotAdopted(t *testing.T) {
-	a := site.Target{Name: "a", Service: "s", Address: "1", Started: 7, Revision: 1}
-	b := site.Target{Name: "b", Service: "s", Address: "1", Started: 8, Revision: 2}
+	a := site.Target{Name: "a", Service: "s", Address: "1", StartID: 7, Revision: 1}
+	b := site.Target{Name: "b", Service: "s", Address: "1", StartID: 8, Revision: 2}
 	cases := map[string]struct {
 		listedBetween []site.Target // listedBetween is the list before the last one; nil for none.
 		find          func(p *Picker)
@@ -328,8 +328,8 @@
 func TestListedIsNotTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		a := site.Target{Name: "a", Service: "s", Address: "1", Started: 7, Revision: 1}
-		b := site.Target{Name: "b", Service: "s", Address: "1", Started: 8, Revision: 2}
+		a := site.Target{Name: "a", Service: "s", Address: "1", StartID: 7, Revision: 1}
+		b := site.Target{Name: "b", Service: "s", Address: "1", StartID: 8, Revision: 2}
 		source := &mutableSource{staticSource: staticSource{changed: make(chan struct{}), targets: []site.Target{a}}}
 		p := New(source, func(string) {}, &log.Logger{Handler: discard.New()}, metrics.NewSet())
 		defer p.Close()
@@ -344,5 +344,5 @@
 
 // reportOfSuccessor returns a load report of an instance that found a target at the address of its predecessor.
 func reportOfSuccessor(name string, predecessor site.Target) wire.Load {
-	return wire.Load{Instance: "finder", Sequence: 1, Successors: []wire.Successor{{Name: name, Of: predecessor.Name, Started: predecessor.Started, Address: predecessor.Address}}}
+	return wire.Load{Instance: "finder", Sequence: 1, Successors: []wire.Successor{{Name: name, Of: predecessor.Name, Started: predecessor.StartID, Address: predecessor.Address}}}
 }
--- a/entry/picker/successor.go
+++ b/entry/picker/successor.go
@@ -11,7 +11,7 @@
 // Adopt replaces a target by a successor, which answers at its address and belongs to the same service, until the
 // platform lists the successor.
 func (p *Picker) Adopt(predecessor site.Target, successorName string) {
-	p.addSuccessor(site.Successor{Of: predecessor, Name: successorName, Found: time.Now()}, "found here")
+	p.addSuccessor(site.Successor{Predecessor: predecessor, Name: successorName, FoundAt: time.Now()}, "found here")
 	p.reconcile()
 }
 
@@ -42,7 +42,7 @@
 		return s
 	})
 	if isNew {
-		p.log.WithFields(log.Fields{"target": successor.Name, "address": successor.Of.Address, "old-target": successor.Of.Name, "cause": cause}).Info("target is used before the platform lists it")
+		p.log.WithFields(log.Fields{"target": successor.Name, "address": successor.Predecessor.Address, "old-target": successor.Predecessor.Name, "cause": cause}).Info("target is used before the platform lists it")
 	}
 	return isNew
 }
@@ -51,11 +51,11 @@
 func (p *Picker) mergeSuccessors(successors []wire.Successor, now time.Time) {
 	anyNew := false
 	for _, successor := range successors {
-		predecessor, ok := p.targetTable.Load().roster.Get(successor.Of)
-		if !ok || predecessor.Address != successor.Address || predecessor.Started != successor.Started {
+		predecessor, ok := p.targetTable.Load().targetSet.Get(successor.Of)
+		if !ok || predecessor.Address != successor.Address || predecessor.StartID != successor.Started {
 			continue
 		}
-		anyNew = p.addSuccessor(site.Successor{Of: predecessor, Name: successor.Name, Found: now.Add(-successor.Age)}, "found by a peer") || anyNew
+		anyNew = p.addSuccessor(site.Successor{Predecessor: predecessor, Name: successor.Name, FoundAt: now.Add(-successor.Age)}, "found by a peer") || anyNew
 	}
 	if anyNew {
 		p.reconcile()
--- a/entry/send/successor.go
+++ b/entry/send/successor.go
@@ -17,7 +17,7 @@
 // its successor if it certainly belongs to the same service: it is an engine, and no other service has engines. Without
 // this, restarted targets could not be used while the platform's list is unreachable.
 func (s *Sender) Misdirected(ctx context.Context, call chain.Call, pick *picker.Pick, successor string) {
-	if !pick.Gone() || successor == "" || call.Site == nil || !call.Site.IsOnlyEngine(pick.Target.Service) {
+	if !pick.Gone() || successor == "" || call.Site == nil || !call.Site.IsOnlyEngineService(pick.Target.Service) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
