--- a/core/sheet/parse.go
+++ b/core/sheet/parse.go
@@ -30,8 +30,8 @@
 	endLabel  = "end"
 )
 
-// MaxSize limits the text of a sheet, in bytes, so that the stored object stays under the platform's 1 MiB.
-const MaxSize = 512 << 10
+// MaxBytes limits the text of a sheet, in bytes, so that the stored object stays under the platform's 1 MiB.
+const MaxBytes = 512 << 10
 
 // maxShareSum is 100 with room for rounding in the spreadsheet's export.
 const maxShareSum = 100.0001
@@ -71,8 +71,8 @@
 // Parse reads a sheet and returns either the sheet or every fault found.
 // exists reports whether an organisation is declared.
 func Parse(text []byte, exists func(string) bool) (conf.Sheet, []Fault) {
-	if len(text) > MaxSize {
-		return conf.Sheet{}, []Fault{{Reason: fmt.Sprintf("sheet has %d bytes, over %d", len(text), MaxSize)}}
+	if len(text) > MaxBytes {
+		return conf.Sheet{}, []Fault{{Reason: fmt.Sprintf("sheet has %d bytes, over %d", len(text), MaxBytes)}}
 	}
 	rows, err := readRows(text)
 	if err != nil {
@@ -246,8 +246,8 @@
 // ErrOlder is returned for a sheet whose date is before the current sheet's.
 var ErrOlder = errors.New("sheet is older than the one that stands")
 
-// Admit returns an error if the next sheet may not replace the current one.
-func Admit(current, next conf.Sheet) error {
+// CheckNotOlder returns an error if the next sheet has an older date than the current one.
+func CheckNotOlder(current, next conf.Sheet) error {
 	if next.Date < current.Date {
 		return fmt.Errorf("%s before %s: %w", next.Date, current.Date, ErrOlder)
 	}
--- a/core/sheet/parse_test.go
+++ b/core/sheet/parse_test.go
@@ -53,7 +53,7 @@
 		"two-faults":                      {edit: func(s string) string { return strings.NewReplacer("latency", "fast", "thrift", "slow").Replace(s) }, faults: []string{"row 3, column recovery", "row 4, column recovery"}},
 		"no-models":                       {edit: func(s string) string { return strings.Replace(s, "20,m,", "20,,", 1) }, faults: []string{"row 4, column models"}},
 		"open-quote":                      {edit: func(s string) string { return strings.Replace(s, "north", `"north`, 1) }, faults: []string{"read CSV"}},
-		"too-large":                       {edit: func(s string) string { return s + strings.Repeat("x", MaxSize) }, faults: []string{"sheet has"}},
+		"too-large":                       {edit: func(s string) string { return s + strings.Repeat("x", MaxBytes) }, faults: []string{"sheet has"}},
 		"cut-within-a-row":                {edit: func(s string) string { return s[:strings.Index(s, ",thrift")] }, faults: []string{"row 4: sheet is truncated"}},
 	}
 	for name, test := range cases {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAdmit(t *testing.T) {
+func TestCheckNotOlder(t *testing.T) {
 	cases := map[string]struct {
 		current, next string
 		rejected      bool
@@ -125,7 +125,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := Admit(conf.Sheet{Date: test.current}, conf.Sheet{Date: test.next})
+			err := CheckNotOlder(conf.Sheet{Date: test.current}, conf.Sheet{Date: test.next})
 			quicktest.New(t).Assert(err != nil, quicktest.Equals, test.rejected)
 		})
 	}
--- a/wharfctl/internal/cmds/sheet.go
+++ b/wharfctl/internal/cmds/sheet.go
@@ -224,7 +224,7 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return proposal{}, err
 	}
-	if err := sheet.Admit(current, next); err != nil {
+	if err := sheet.CheckNotOlder(current, next); err != nil {
 		return proposal{}, fmt.Errorf("%w: %w", errRejected, err)
 	}
 	return newProposal(member, o, current, next)
@@ -249,7 +249,7 @@
 	var text []byte
 	var err error
 	if name == "-" {
-		text, err = io.ReadAll(io.LimitReader(os.Stdin, sheet.MaxSize+1))
+		text, err = io.ReadAll(io.LimitReader(os.Stdin, sheet.MaxBytes+1))
 	} else {
 		text, err = os.ReadFile(name)
 	}
