--- a/core/conf/snapshot.go
+++ b/core/conf/snapshot.go
@@ -37,12 +37,6 @@
 	return &Snapshot{}
 }
 
-// Caller returns the organisation whose key has the given hash.
-func (s *Snapshot) Caller(keyHash string) (string, bool) {
-	name, ok := s.organisationByKeyHash[keyHash]
-	return name, ok
-}
-
 // Entries returns the entries changed after a revision, including deleted ones, sorted by revision.
 func (s *Snapshot) Entries(after Revision) []Entry {
 	var changed []Entry
@@ -57,8 +51,8 @@
 	return changed
 }
 
-// Limit returns the limit of an organisation and the member whose sheet sets it.
-func (s *Snapshot) Limit(organisation string) (Limit, string, bool) {
+// LimitOf returns the limit of an organisation and the member whose sheet sets it.
+func (s *Snapshot) LimitOf(organisation string) (Limit, string, bool) {
 	l, ok := s.limitByOrganisation[organisation]
 	return l, s.memberByOrganisation[organisation], ok
 }
@@ -75,6 +69,12 @@
 	return o, ok
 }
 
+// OrganisationByKeyHash returns the organisation whose key has the given hash.
+func (s *Snapshot) OrganisationByKeyHash(keyHash string) (string, bool) {
+	name, ok := s.organisationByKeyHash[keyHash]
+	return name, ok
+}
+
 // Organisations returns the names of all organisations that have a limit, sorted.
 func (s *Snapshot) Organisations() []string {
 	return slices.Sorted(maps.Keys(s.limitByOrganisation))
--- a/core/conf/value.go
+++ b/core/conf/value.go
@@ -105,7 +105,7 @@
 // Allows reports whether the limit lets its organisation use a model, adapter and version.
 func (l Limit) Allows(model, adapter, version string) bool {
 	for _, grant := range l.Models {
-		grantedModel, grantedAdapter, grantedVersion := SplitGrant(grant)
+		grantedModel, grantedAdapter, grantedVersion := ParseGrant(grant)
 		if grantedModel == model && (grantedAdapter == "" || grantedAdapter == adapter) && (grantedVersion == "" || grantedVersion == version) {
 			return true
 		}
@@ -113,8 +113,8 @@
 	return false
 }
 
-// SplitGrant splits model, model/adapter or model/adapter@version into its parts.
-func SplitGrant(grant string) (model, adapter, version string) {
+// ParseGrant splits model, model/adapter or model/adapter@version into its parts.
+func ParseGrant(grant string) (model, adapter, version string) {
 	rest := grant
 	for i := range rest {
 		if rest[i] == '@' {
--- a/entry/filter/identify.go
+++ b/entry/filter/identify.go
@@ -42,11 +42,11 @@
 		return chain.Refuse(deny.New(deny.KindUnavailable, "%v; use another instance", err).WithRetryAfter(retryAfter))
 	}
 	sum := sha256.Sum256([]byte(c.Credential))
-	name, ok := snapshot.Caller(hex.EncodeToString(sum[:]))
+	name, ok := snapshot.OrganisationByKeyHash(hex.EncodeToString(sum[:]))
 	if !ok || c.Credential == "" {
 		return chain.Refuse(deny.New(deny.KindUnauthorised, "the key is missing or unknown"))
 	}
-	limit, _, ok := snapshot.Limit(name)
+	limit, _, ok := snapshot.LimitOf(name)
 	if !ok {
 		return chain.Refuse(deny.New(deny.KindForbidden, "organisation %s is on no member's sheet", name))
 	}
--- a/entry/internal/front/complete.go
+++ b/entry/internal/front/complete.go
@@ -119,7 +119,7 @@
 	if r.MaxTokens != nil {
 		maxTokens = *r.MaxTokens
 	}
-	model, adapter, version := conf.SplitGrant(r.Model)
+	model, adapter, version := conf.ParseGrant(r.Model)
 	return chain.Generate{
 		Model:     model,
 		Adapter:   adapter,
--- a/entry/internal/lend/lend.go
+++ b/entry/internal/lend/lend.go
@@ -124,7 +124,7 @@
 // grant decides how many slots of an organisation's ceiling a borrower gets.
 func (l *Lend) grant(from string, want wire.Want) int {
 	now := time.Now()
-	orgLimit, _, ok := l.config.Snapshot().Limit(want.Organisation)
+	orgLimit, _, ok := l.config.Snapshot().LimitOf(want.Organisation)
 	if !ok {
 		return 0
 	}
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -98,7 +98,7 @@
 		if a.usableSlots(l.elapsed()) > 0 {
 			continue
 		}
-		orgLimit, _, ok := l.config.Snapshot().Limit(r.wants[i].Organisation)
+		orgLimit, _, ok := l.config.Snapshot().LimitOf(r.wants[i].Organisation)
 		if !ok {
 			continue
 		}
--- a/entry/internal/pool/pool.go
+++ b/entry/internal/pool/pool.go
@@ -264,7 +264,7 @@
 	for _, t := range snapshot.Targets() {
 		targetsByName[t.Name] = t
 		for _, grant := range t.Models {
-			model, _, _ := conf.SplitGrant(grant)
+			model, _, _ := conf.ParseGrant(grant)
 			placesByModel[model] = append(placesByModel[model], route.Place{Name: t.Name, Domain: t.Domain})
 		}
 	}
--- a/entry/internal/pool/table.go
+++ b/entry/internal/pool/table.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	return slices.ContainsFunc(w.target.Models, func(grant string) bool {
-		name, _, _ := conf.SplitGrant(grant)
+		name, _, _ := conf.ParseGrant(grant)
 		return name == model
 	})
 }
--- a/entry/internal/proof/sheet_test.go
+++ b/entry/internal/proof/sheet_test.go
@@ -142,7 +142,7 @@
 		if err != nil || m.pushedAt.IsZero() || now.Sub(m.pushedAt) < sheetApplyBound || now.Sub(m.lastUnreadable) < sheetApplyBound || now.Sub(m.runningSince[name]) < sheetApplyBound {
 			continue
 		}
-		if limit, _, _ := current.Limit("org"); limit.Ceiling != ceilingNew {
+		if limit, _, _ := current.LimitOf("org"); limit.Ceiling != ceilingNew {
 			m.failure = fmt.Sprintf("%s still serves the old sheet %s after the push", name, now.Sub(m.pushedAt))
 		}
 	}
