--- a/core/decl/check.go
+++ b/core/decl/check.go
@@ -20,8 +20,8 @@
 	namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 )
 
-// Check returns the first fault found in a configuration value, or nil.
-func Check(value conf.Value) error {
+// Validate returns the first fault found in a configuration value, or nil.
+func Validate(value conf.Value) error {
 	switch v := value.(type) {
 	case conf.Model:
 		return checkModel(v)
@@ -34,12 +34,12 @@
 	case conf.Target:
 		return checkTarget(v)
 	default:
-		return ErrKind
+		return ErrUnknownKind
 	}
 }
 
-// ValidName reports whether a name may be used for a configuration object.
-func ValidName(name string) bool {
+// IsValidName reports whether a name may be used for a configuration object.
+func IsValidName(name string) bool {
 	return namePattern.MatchString(name)
 }
 
@@ -97,7 +97,7 @@
 
 // checkLimit checks one row of a sheet.
 func checkLimit(l conf.Limit) error {
-	if !ValidName(l.Organisation) {
+	if !IsValidName(l.Organisation) {
 		return errors.Errorf("organisation %q is not a valid name", l.Organisation)
 	}
 	if !(l.Share > 0) || l.Share > 100 {
--- a/core/decl/file.go
+++ b/core/decl/file.go
@@ -16,15 +16,15 @@
 	Targets       map[string]json.RawMessage `json:"targets"`
 }
 
-// Declared is one valid object of a declaration file, in the encoding that the platform stores.
-type Declared struct {
+// Object is one valid object of a declaration file, in the encoding that the platform stores.
+type Object struct {
 	Key conf.Key
 	Raw json.RawMessage
 }
 
 // Parse reads a declaration file in YAML or JSON.
 // It returns the valid objects, and one fault for each other object or for a file that cannot be read.
-func Parse(source []byte) ([]Declared, []error) {
+func Parse(source []byte) ([]Object, []error) {
 	raw, err := yaml.YAMLToJSON(source)
 	if err != nil {
 		return nil, []error{fmt.Errorf("read YAML: %w", err)}
@@ -33,16 +33,16 @@
 	if err != nil {
 		return nil, []error{err}
 	}
-	var declared []Declared
+	var declared []Object
 	var faults []error
 	for kind, objects := range file.byKind() {
 		for name, value := range objects {
-			d, err := newDeclared(kind, name, value)
+			o, err := newObject(kind, name, value)
 			if err != nil {
 				faults = append(faults, err)
 				continue
 			}
-			declared = append(declared, d)
+			declared = append(declared, o)
 		}
 	}
 	return declared, faults
@@ -58,18 +58,18 @@
 	}
 }
 
-// newDeclared checks one object and encodes it as the platform stores it.
-func newDeclared(kind, name string, value json.RawMessage) (Declared, error) {
-	if !ValidName(name) {
-		return Declared{}, fmt.Errorf("%s %q: names are lower-case letters, digits, dots and dashes", kind, name)
+// newObject checks one object and encodes it as the platform stores it.
+func newObject(kind, name string, value json.RawMessage) (Object, error) {
+	if !IsValidName(name) {
+		return Object{}, fmt.Errorf("%s %q: names are lower-case letters, digits, dots and dashes", kind, name)
 	}
-	checked, err := Value(kind, name, value)
+	checked, err := DecodeValue(kind, name, value)
 	if err != nil {
-		return Declared{}, err
+		return Object{}, err
 	}
 	raw, err := json.Marshal(checked)
 	if err != nil {
-		return Declared{}, fmt.Errorf("encode %s/%s: %w", kind, name, err)
+		return Object{}, fmt.Errorf("encode %s/%s: %w", kind, name, err)
 	}
-	return Declared{Key: conf.Key{Kind: kind, Name: name}, Raw: raw}, nil
+	return Object{Key: conf.Key{Kind: kind, Name: name}, Raw: raw}, nil
 }
--- a/core/decl/file_test.go
+++ b/core/decl/file_test.go
@@ -62,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		objects, _ := Parse(text)
 		for _, o := range objects {
-			if _, err := Value(o.Key.Kind, o.Key.Name, o.Raw); err != nil {
+			if _, err := DecodeValue(o.Key.Kind, o.Key.Name, o.Raw); err != nil {
 				t.Errorf("accepted %s/%s and cannot read it back: %v", o.Key.Kind, o.Key.Name, err)
 			}
 		}
--- a/core/decl/object.go
+++ b/core/decl/object.go
@@ -10,16 +10,16 @@
 	"github.com/pkg/errors"
 )
 
-// ErrKind is returned for an object whose kind is not a kind of configuration.
-var ErrKind = errors.New("unknown kind of configuration object")
+// ErrUnknownKind is returned for an object whose kind is not a kind of configuration.
+var ErrUnknownKind = errors.New("unknown kind of configuration object")
 
-// Entries converts stored objects to configuration entries.
+// DecodeEntries converts stored objects to configuration entries.
 // It leaves out invalid objects and returns an error for each of them.
-func Entries(objects []store.Object) ([]conf.Entry, []error) {
+func DecodeEntries(objects []store.Object) ([]conf.Entry, []error) {
 	var entries []conf.Entry
 	var faults []error
 	for _, o := range objects {
-		e, err := Entry(o)
+		e, err := DecodeEntry(o)
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -29,8 +29,8 @@
 	return entries, faults
 }
 
-// Entry converts one stored object to a configuration entry.
-func Entry(o store.Object) (conf.Entry, error) {
+// DecodeEntry converts one stored object to a configuration entry.
+func DecodeEntry(o store.Object) (conf.Entry, error) {
 	e := conf.Entry{
 		Key:      conf.Key{Kind: o.Kind, Name: o.Name},
 		Revision: conf.Revision(o.Revision),
@@ -40,7 +40,7 @@
 	if o.Deleted {
 		return e, nil
 	}
-	value, err := Value(o.Kind, o.Name, o.Value)
+	value, err := DecodeValue(o.Kind, o.Name, o.Value)
 	if err != nil {
 		return e, err
 	}
@@ -48,8 +48,8 @@
 	return e, nil
 }
 
-// Value decodes and checks the value of one object.
-func Value(kind, name string, raw []byte) (conf.Value, error) {
+// DecodeValue decodes and checks the value of one object.
+func DecodeValue(kind, name string, raw []byte) (conf.Value, error) {
 	var value conf.Value
 	var err error
 	switch kind {
@@ -64,7 +64,7 @@
 	case conf.KindTarget:
 		value, err = decodeStrict[conf.Target](raw)
 	default:
-		err = ErrKind
+		err = ErrUnknownKind
 	}
 	if err != nil {
 		return nil, fmt.Errorf("decode %s/%s: %w", kind, name, err)
@@ -73,7 +73,7 @@
 		t.Name = name
 		value = t
 	}
-	if err := Check(value); err != nil {
+	if err := Validate(value); err != nil {
 		return nil, fmt.Errorf("check %s/%s: %w", kind, name, err)
 	}
 	return value, nil
--- a/entry/internal/boot/settings.go
+++ b/entry/internal/boot/settings.go
@@ -61,7 +61,7 @@
 // Check returns one error that lists every invalid setting, or nil.
 func (s *Settings) Check() error {
 	var checks opts.Checks
-	checks.Need(decl.ValidName(s.Name), "--name %q must be lower-case letters, digits, dots and dashes", s.Name)
+	checks.Need(decl.IsValidName(s.Name), "--name %q must be lower-case letters, digits, dots and dashes", s.Name)
 	checks.Need(s.Domain != "", "--failure-domain is missing")
 	for flag, address := range map[string]string{"listen": s.Listen, "peer-listen": s.PeerListen, "admin-listen": s.AdminListen} {
 		_, _, err := net.SplitHostPort(address)
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -170,7 +170,7 @@
 
 // apply applies objects to the snapshot, whose revision becomes that of the newest object.
 func (w *Watch) apply(objects []store.Object) {
-	entries, errs := decl.Entries(objects)
+	entries, errs := decl.DecodeEntries(objects)
 	for _, err := range errs {
 		w.rejectedObjects.Inc()
 		w.log.WithError(err).Error("invalid configuration object ignored")
--- a/wharfctl/internal/cmds/apply.go
+++ b/wharfctl/internal/cmds/apply.go
@@ -38,7 +38,7 @@
 }
 
 // apply writes the objects that differ from those in the platform, each with a record in the audit trail.
-func (a *app) apply(ctx context.Context, declared []decl.Declared, dryRun bool) error {
+func (a *app) apply(ctx context.Context, declared []decl.Object, dryRun bool) error {
 	trail, s, err := a.trail()
 	if err != nil {
 		return err
@@ -74,8 +74,8 @@
 }
 
 // parseFiles returns the objects of all files by kind and name, or one error that lists every fault.
-func parseFiles(names []string) ([]decl.Declared, error) {
-	var declared []decl.Declared
+func parseFiles(names []string) ([]decl.Object, error) {
+	var declared []decl.Object
 	var faults []string
 	for _, name := range names {
 		text, err := readInput(name)
@@ -91,7 +91,7 @@
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("declarations %w, nothing was changed:\n  %s", errRejected, strings.Join(faults, "\n  "))
 	}
-	slices.SortFunc(declared, func(a, b decl.Declared) int {
+	slices.SortFunc(declared, func(a, b decl.Object) int {
 		return strings.Compare(a.Key.Kind+"/"+a.Key.Name, b.Key.Kind+"/"+b.Key.Name)
 	})
 	return declared, nil
--- a/wharfctl/internal/cmds/sheet.go
+++ b/wharfctl/internal/cmds/sheet.go
@@ -193,7 +193,7 @@
 
 // propose reads and checks a sheet and compares it with the member's current one.
 func propose(ctx context.Context, s store.Store, member, file string) (proposal, error) {
-	if !decl.ValidName(member) {
+	if !decl.IsValidName(member) {
 		return proposal{}, fmt.Errorf("%w: member %q is not a valid name", errUsage, member)
 	}
 	text, err := readInput(file)
@@ -209,7 +209,7 @@
 		knownOrganisations[o.Name] = knownOrganisations[o.Name] || o.Kind == conf.KindOrganisation && !o.Deleted
 	}
 	next, faults := sheet.Parse(text, func(name string) bool { return knownOrganisations[name] })
-	entries, _ := decl.Entries(page.Objects)
+	entries, _ := decl.DecodeEntries(page.Objects)
 	memberByOrganisation := otherMembersByOrganisation(entries, member)
 	// Limits begin in row 3, below the date and the header.
 	for i, l := range next.Limits {
@@ -274,7 +274,7 @@
 	if err != nil {
 		return o, conf.Sheet{}, fmt.Errorf("read the sheet of %s: %w", member, err)
 	}
-	value, err := decl.Value(conf.KindSheet, member, o.Value)
+	value, err := decl.DecodeValue(conf.KindSheet, member, o.Value)
 	if err != nil {
 		return o, conf.Sheet{}, err
 	}
