--- a/core/mirror/view.go
+++ b/core/mirror/view.go
@@ -19,9 +19,9 @@
 
 // Page is a list of all objects of a kind, or of those changed after some revision.
 type Page struct {
-	At      uint64 // At is the store's revision up to which the page is complete.
-	Whole   bool   // Whole is set if the page lists every object, so that all others are deleted.
-	Objects []Object
+	Revision uint64 // Revision is the store's revision up to which the page holds the changes.
+	Complete bool   // Complete is set if the page lists every object, so that all others are deleted.
+	Objects  []Object
 }
 
 // View is a copy of all objects of one kind. It is immutable.
@@ -30,9 +30,16 @@
 	objects  map[string]Object
 }
 
-// At returns the store's revision up to which the view is complete.
-func (v View) At() uint64 {
-	return v.revision
+// ChangesSince returns a page of all objects that changed after a revision, including deleted ones.
+func (v View) ChangesSince(after uint64) Page {
+	p := Page{Revision: v.revision}
+	for _, o := range v.objects {
+		if o.Revision > after {
+			p.Objects = append(p.Objects, o)
+		}
+	}
+	slices.SortFunc(p.Objects, func(a, b Object) int { return cmp.Compare(a.Revision, b.Revision) })
+	return p
 }
 
 // Get returns an object that is not deleted.
@@ -53,21 +60,14 @@
 	return live
 }
 
-// Since returns a page of all objects that changed after a revision, including deleted ones.
-func (v View) Since(after uint64) Page {
-	p := Page{At: v.revision}
-	for _, o := range v.objects {
-		if o.Revision > after {
-			p.Objects = append(p.Objects, o)
-		}
-	}
-	slices.SortFunc(p.Objects, func(a, b Object) int { return cmp.Compare(a.Revision, b.Revision) })
-	return p
+// Revision returns the store's revision up to which the view holds the changes.
+func (v View) Revision() uint64 {
+	return v.revision
 }
 
 // WithPage returns a view that holds the newer version of each object, and whether an object changed.
 func (v View) WithPage(p Page) (View, bool) {
-	next := View{revision: max(v.revision, p.At), objects: maps.Clone(v.objects)}
+	next := View{revision: max(v.revision, p.Revision), objects: maps.Clone(v.objects)}
 	if next.objects == nil {
 		next.objects = make(map[string]Object, len(p.Objects))
 	}
@@ -75,14 +75,14 @@
 	for _, o := range p.Objects {
 		changed = next.merge(o) || changed
 	}
-	if p.Whole {
+	if p.Complete {
 		changed = next.deleteUnlisted(p) || changed
 	}
 	next.trimDeleted()
 	return next, changed
 }
 
-// deleteUnlisted marks the objects that a whole page lacks as deleted, except for those changed after its revision.
+// deleteUnlisted marks the objects that a complete page lacks as deleted, except for those changed after its revision.
 func (v View) deleteUnlisted(p Page) bool {
 	listed := make(map[string]bool, len(p.Objects))
 	for _, o := range p.Objects {
@@ -90,8 +90,8 @@
 	}
 	changed := false
 	for name, o := range v.objects {
-		if !listed[name] && !o.Deleted && o.Revision <= p.At {
-			v.objects[name] = Object{Name: name, Revision: p.At, Deleted: true}
+		if !listed[name] && !o.Deleted && o.Revision <= p.Revision {
+			v.objects[name] = Object{Name: name, Revision: p.Revision, Deleted: true}
 			changed = true
 		}
 	}
--- a/core/mirror/view_test.go
+++ b/core/mirror/view_test.go
@@ -15,24 +15,24 @@
 		pages []Page
 		want  map[string]uint64
 	}{
-		"changes-are-merged":                     {[]Page{{At: 1, Objects: []Object{live("a", 1)}}, {At: 3, Objects: []Object{live("b", 3)}}}, map[string]uint64{"a": 1, "b": 3}},
-		"old-change-is-ignored":                  {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 3, Objects: []Object{live("a", 3)}}}, map[string]uint64{"a": 5}},
-		"deletion":                               {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{deleted("a", 6)}}}, map[string]uint64{}},
-		"deletion-at-same-revision":              {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{deleted("a", 5)}}}, map[string]uint64{}},
-		"old-page-does-not-restore":              {[]Page{{At: 5, Objects: []Object{live("a", 5)}}, {At: 6, Objects: []Object{deleted("a", 5)}}, {At: 5, Objects: []Object{live("a", 5)}}}, map[string]uint64{}},
-		"created-again":                          {[]Page{{At: 6, Objects: []Object{deleted("a", 5)}}, {At: 8, Objects: []Object{live("a", 8)}}}, map[string]uint64{"a": 8}},
-		"whole-page-deletes":                     {[]Page{{At: 5, Objects: []Object{live("a", 4), live("b", 5)}}, {At: 7, Whole: true, Objects: []Object{live("b", 5)}}}, map[string]uint64{"b": 5}},
-		"old-whole-page-keeps-newer":             {[]Page{{At: 9, Objects: []Object{live("a", 9)}}, {At: 7, Whole: true}}, map[string]uint64{"a": 9}},
-		"old-whole-page-does-not-lower-revision": {[]Page{{At: 9, Objects: []Object{live("a", 9)}}, {At: 7, Whole: true, Objects: []Object{live("a", 6)}}}, map[string]uint64{"a": 9}},
+		"changes-are-merged":                     {[]Page{{Revision: 1, Objects: []Object{live("a", 1)}}, {Revision: 3, Objects: []Object{live("b", 3)}}}, map[string]uint64{"a": 1, "b": 3}},
+		"old-change-is-ignored":                  {[]Page{{Revision: 5, Objects: []Object{live("a", 5)}}, {Revision: 3, Objects: []Object{live("a", 3)}}}, map[string]uint64{"a": 5}},
+		"deletion":                               {[]Page{{Revision: 5, Objects: []Object{live("a", 5)}}, {Revision: 6, Objects: []Object{deleted("a", 6)}}}, map[string]uint64{}},
+		"deletion-at-same-revision":              {[]Page{{Revision: 5, Objects: []Object{live("a", 5)}}, {Revision: 6, Objects: []Object{deleted("a", 5)}}}, map[string]uint64{}},
+		"old-page-does-not-restore":              {[]Page{{Revision: 5, Objects: []Object{live("a", 5)}}, {Revision: 6, Objects: []Object{deleted("a", 5)}}, {Revision: 5, Objects: []Object{live("a", 5)}}}, map[string]uint64{}},
+		"created-again":                          {[]Page{{Revision: 6, Objects: []Object{deleted("a", 5)}}, {Revision: 8, Objects: []Object{live("a", 8)}}}, map[string]uint64{"a": 8}},
+		"whole-page-deletes":                     {[]Page{{Revision: 5, Objects: []Object{live("a", 4), live("b", 5)}}, {Revision: 7, Complete: true, Objects: []Object{live("b", 5)}}}, map[string]uint64{"b": 5}},
+		"old-whole-page-keeps-newer":             {[]Page{{Revision: 9, Objects: []Object{live("a", 9)}}, {Revision: 7, Complete: true}}, map[string]uint64{"a": 9}},
+		"old-whole-page-does-not-lower-revision": {[]Page{{Revision: 9, Objects: []Object{live("a", 9)}}, {Revision: 7, Complete: true, Objects: []Object{live("a", 6)}}}, map[string]uint64{"a": 9}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			var v View
 			for _, p := range test.pages {
-				before := v.At()
+				before := v.Revision()
 				v, _ = v.WithPage(p)
-				c.Assert(v.At() >= before, quicktest.IsTrue)
+				c.Assert(v.Revision() >= before, quicktest.IsTrue)
 			}
 			got := make(map[string]uint64)
 			for _, o := range v.Live() {
--- a/entry/feed/feed.go
+++ b/entry/feed/feed.go
@@ -100,7 +100,7 @@
 		startTime: time.Now(),
 	}
 	f.recoveredAt.Store(int64(-settleTime))
-	set.NewGauge(`bramleywharf_feed_revision{kind="`+s.Kind+`"}`, func() float64 { return float64(f.View().At()) })
+	set.NewGauge(`bramleywharf_feed_revision{kind="`+s.Kind+`"}`, func() float64 { return float64(f.View().Revision()) })
 	set.NewGauge(`bramleywharf_feed_age_seconds{kind="`+s.Kind+`"}`, func() float64 { return f.Age().Seconds() })
 	f.Loop = wait.Start(f.loop)
 	return f
@@ -135,7 +135,7 @@
 // Take merges a page from the store or a peer into the view.
 func (f *Feed) Take(p mirror.Page, from string) {
 	current := f.view.Load()
-	if _, changed := current.WithPage(p); !changed && p.At <= current.At() {
+	if _, changed := current.WithPage(p); !changed && p.Revision <= current.Revision() {
 		return
 	}
 	changed := false
@@ -145,7 +145,7 @@
 	})
 	if changed {
 		f.changes.Inc()
-		f.log.WithFields(log.Fields{"from": from, "revision": p.At, "objects": len(p.Objects), "whole": p.Whole}).
+		f.log.WithFields(log.Fields{"from": from, "revision": p.Revision, "objects": len(p.Objects), "whole": p.Complete}).
 			Debug("objects changed")
 		if members := f.fleet.Load(); members != nil {
 			(*members).Push()
@@ -172,7 +172,7 @@
 		}
 		if gap := now - time.Duration(previous); gap > unreachableAge && previous > 0 {
 			f.recoveredAt.Store(int64(now))
-			f.log.WithFields(log.Fields{"revision": f.View().At(), "gap-ms": gap.Milliseconds()}).
+			f.log.WithFields(log.Fields{"revision": f.View().Revision(), "gap-ms": gap.Milliseconds()}).
 				Info("objects are current again")
 		}
 		return
@@ -195,7 +195,7 @@
 	age := f.Age() - time.Duration(pullLevels(fleetSize)-1)*delayPerLevel
 	if (*members).Elected(role, queryingCount(age, fleetSize)) {
 		if now.After(takeoverUntil) {
-			f.log.WithFields(log.Fields{"age-ms": age.Milliseconds(), "revision": f.View().At()}).
+			f.log.WithFields(log.Fields{"age-ms": age.Milliseconds(), "revision": f.View().Revision()}).
 				Info("objects are stale; this instance queries the store as well")
 		}
 		return true, now.Add(takeoverTime)
@@ -263,7 +263,7 @@
 	start := time.Now()
 	if w.wasIdle {
 		w.wasIdle = false
-		w.revision = max(w.revision, f.View().At())
+		w.revision = max(w.revision, f.View().Revision())
 	}
 	page, err := w.listOrWatch(ctx)
 	switch {
@@ -326,7 +326,7 @@
 	f := w.feed
 	if w.failing {
 		w.failing = false
-		f.log.WithField("revision", p.At).Info("store is reachable again")
+		f.log.WithField("revision", p.Revision).Info("store is reachable again")
 	}
 	w.backoff = backoffBase
 	asOf := start
@@ -334,7 +334,7 @@
 		asOf = time.Now()
 	}
 	w.listed = true
-	w.revision = max(w.revision, p.At)
+	w.revision = max(w.revision, p.Revision)
 	f.Confirm(time.Since(asOf))
 	f.Take(p, "store")
 }
--- a/entry/feed/feed_test.go
+++ b/entry/feed/feed_test.go
@@ -33,7 +33,7 @@
 	defer s.mu.Unlock()
 	s.calls++
 	page := s.page
-	page.Whole = true
+	page.Complete = true
 	if errors.Is(s.err, ErrForgotten) {
 		return page, nil
 	}
@@ -55,10 +55,10 @@
 		case hang:
 			<-ctx.Done()
 			return mirror.Page{}, ctx.Err()
-		case page.At > after:
+		case page.Revision > after:
 			return page, nil
 		case time.Now().After(deadline):
-			return mirror.Page{At: page.At}, nil
+			return mirror.Page{Revision: page.Revision}, nil
 		}
 	}
 }
@@ -94,8 +94,8 @@
 func (f fleet) Push() {}
 
 func TestFeed(t *testing.T) {
-	initial := mirror.Page{At: 5, Objects: []mirror.Object{{Name: "a", Revision: 5}}}
-	updated := mirror.Page{At: 7, Objects: []mirror.Object{{Name: "a", Revision: 5}, {Name: "b", Revision: 7}}}
+	initial := mirror.Page{Revision: 5, Objects: []mirror.Object{{Name: "a", Revision: 5}}}
+	updated := mirror.Page{Revision: 7, Objects: []mirror.Object{{Name: "a", Revision: 5}, {Name: "b", Revision: 7}}}
 	cases := map[string]struct {
 		fleet  Duties
 		change func(*fakeStore)
@@ -129,7 +129,7 @@
 				)
 				defer f.Close()
 				time.Sleep(time.Second)
-				c.Assert(f.View().At(), quicktest.Equals, uint64(5))
+				c.Assert(f.View().Revision(), quicktest.Equals, uint64(5))
 				if test.fleet != nil {
 					f.Assign(test.fleet)
 				}
@@ -138,15 +138,15 @@
 				s.update(func(s *fakeStore) { s.page = updated })
 				if test.within > 0 {
 					time.Sleep(test.within)
-					c.Assert(f.View().At(), quicktest.Equals, uint64(7))
+					c.Assert(f.View().Revision(), quicktest.Equals, uint64(7))
 					return
 				}
 				time.Sleep(5 * time.Second)
-				c.Assert(f.View().At(), quicktest.Equals, uint64(5))
+				c.Assert(f.View().Revision(), quicktest.Equals, uint64(5))
 				c.Assert(f.Settled(), quicktest.IsFalse)
 				s.update(func(s *fakeStore) { s.err = nil })
 				time.Sleep(time.Second)
-				c.Assert(f.View().At(), quicktest.Equals, uint64(7))
+				c.Assert(f.View().Revision(), quicktest.Equals, uint64(7))
 				c.Assert(f.Settled(), quicktest.IsFalse)
 				time.Sleep(settleTime)
 				c.Assert(f.Settled(), quicktest.IsTrue)
@@ -160,7 +160,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		time.Sleep(time.Millisecond)
-		s := &fakeStore{page: mirror.Page{At: 5}}
+		s := &fakeStore{page: mirror.Page{Revision: 5}}
 		f := New(
 			Settings{Kind: "k", Pace: 100 * time.Millisecond}, s,
 			&log.Logger{Handler: discard.New()}, metrics.NewSet(),
@@ -211,7 +211,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				time.Sleep(time.Millisecond)
-				s := &fakeStore{page: mirror.Page{At: 5}}
+				s := &fakeStore{page: mirror.Page{Revision: 5}}
 				f := New(
 					Settings{Kind: "k", Pace: 100 * time.Millisecond}, s,
 					&log.Logger{Handler: discard.New()}, metrics.NewSet(),
@@ -224,9 +224,9 @@
 				time.Sleep(10 * time.Second)
 				calls := s.callCount() - before
 				c.Assert(calls > 0 && calls <= test.calls, quicktest.IsTrue, quicktest.Commentf("%d calls", calls))
-				s.update(func(s *fakeStore) { s.err, s.page = nil, mirror.Page{At: 7} })
+				s.update(func(s *fakeStore) { s.err, s.page = nil, mirror.Page{Revision: 7} })
 				time.Sleep(test.maxRecovery + 50*time.Millisecond)
-				c.Assert(f.View().At(), quicktest.Equals, uint64(7))
+				c.Assert(f.View().Revision(), quicktest.Equals, uint64(7))
 			})
 		})
 	}
@@ -247,7 +247,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Millisecond)
-				s := &fakeStore{page: mirror.Page{At: 5}}
+				s := &fakeStore{page: mirror.Page{Revision: 5}}
 				f := New(
 					Settings{Kind: "k", Pace: 100 * time.Millisecond}, s,
 					&log.Logger{Handler: discard.New()}, metrics.NewSet(),
--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -104,7 +104,7 @@
 		for _, f := range s.feeds {
 			if f.Kind() == mark.Kind {
 				age := f.Age()
-				page := pageToWire(mark.Kind, f.View().Since(mark.At))
+				page := pageToWire(mark.Kind, f.View().ChangesSince(mark.At))
 				page.Age = age
 				pages.Pages = append(pages.Pages, page)
 			}
@@ -128,7 +128,7 @@
 func (s *Swap) Revision() uint64 {
 	var newest uint64
 	for _, f := range s.feeds {
-		newest = max(newest, f.View().At())
+		newest = max(newest, f.View().Revision())
 	}
 	return newest
 }
@@ -163,7 +163,7 @@
 		request.Loads, request.Own, request.Known = true, s.loads.Own(), s.loads.Known()
 	}
 	for _, f := range s.feeds {
-		request.Marks = append(request.Marks, wire.Mark{Kind: f.Kind(), At: f.View().At()})
+		request.Marks = append(request.Marks, wire.Mark{Kind: f.Kind(), At: f.View().Revision()})
 	}
 	response, err := s.net.Ask(ctx, address, request)
 	s.logPullResult(address, err)
@@ -244,7 +244,7 @@
 
 // pageFromWire decodes a page from a message.
 func pageFromWire(p wire.KindPage) mirror.Page {
-	page := mirror.Page{At: p.At}
+	page := mirror.Page{Revision: p.At}
 	for _, o := range p.Objects {
 		page.Objects = append(page.Objects, mirror.Object{
 			Name:     o.Name,
@@ -258,7 +258,7 @@
 
 // pageToWire encodes a page of a kind into a message.
 func pageToWire(kind string, p mirror.Page) wire.KindPage {
-	page := wire.KindPage{Kind: kind, At: p.At}
+	page := wire.KindPage{Kind: kind, At: p.Revision}
 	for _, o := range p.Objects {
 		page.Objects = append(page.Objects, wire.ConfigObject{
 			Kind:     kind,
--- a/entry/inst/inst.go
+++ b/entry/inst/inst.go
@@ -260,7 +260,7 @@
 
 // waitForConfig waits until the configuration and the targets are received.
 func (i *Instance) waitForConfig(ctx context.Context, configFeed, targetFeed *feed.Feed) error {
-	for i.board.Config() == nil || targetFeed.View().At() == 0 {
+	for i.board.Config() == nil || targetFeed.View().Revision() == 0 {
 		select {
 		case <-i.board.Changed():
 		case <-targetFeed.Changed():
