--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -50,10 +50,10 @@
 	return &Trail{store: store.Settled{Store: s}}
 }
 
-// Change writes an object on behalf of a person and records the change.
+// Apply writes an object on behalf of a person and records the change.
 // The error wraps the store's, such as store.ErrUncertain, or store.ErrConflict if the object has changed since
 // o.Revision.
-func (t *Trail) Change(ctx context.Context, who string, o store.Object, changes []string) (Record, error) {
+func (t *Trail) Apply(ctx context.Context, who string, o store.Object, changes []string) (Record, error) {
 	r := Record{
 		ID:      token.NewID(),
 		At:      time.Now().UTC().Truncate(time.Millisecond),
--- a/core/audit/trail_test.go
+++ b/core/audit/trail_test.go
@@ -27,7 +27,7 @@
 	return r.Store.Put(ctx, o)
 }
 
-func TestChange(t *testing.T) {
+func TestApply(t *testing.T) {
 	cases := map[string]struct {
 		fault     store.Fault
 		faultEnds time.Duration // The time after which the fault ends, or 0 for never.
@@ -61,7 +61,7 @@
 				}}
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
-				_, err := NewTrail(r).Change(ctx, "planner", store.Object{Kind: conf.KindSheet, Name: "club", Value: []byte(`"ours"`)}, nil)
+				_, err := NewTrail(r).Apply(ctx, "planner", store.Object{Kind: conf.KindSheet, Name: "club", Value: []byte(`"ours"`)}, nil)
 				c.Assert(err != nil, quicktest.Equals, test.wantErr, quicktest.Commentf("%v", err))
 				memory.SetFault(store.Healthy{})
 				records, err := NewTrail(memory).History(t.Context(), conf.KindSheet, "club")
--- a/wharfctl/internal/cmds/apply.go
+++ b/wharfctl/internal/cmds/apply.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		next := store.Object{Kind: d.Key.Kind, Name: d.Key.Name, Revision: o.Revision, Value: d.Raw}
-		if _, err := trail.Change(ctx, a.actor, next, []string{string(d.Raw)}); err != nil {
+		if _, err := trail.Apply(ctx, a.actor, next, []string{string(d.Raw)}); err != nil {
 			return fmt.Errorf("write %s/%s: %w", d.Key.Kind, d.Key.Name, err)
 		}
 	}
--- a/wharfctl/internal/cmds/sheet.go
+++ b/wharfctl/internal/cmds/sheet.go
@@ -110,7 +110,7 @@
 			if base >= 0 && uint64(base) != p.Base {
 				return fmt.Errorf("the sheet of %s is at revision %d, not %d; look at it with dry-run: %w", p.Member, p.Base, base, store.ErrConflict)
 			}
-			r, err := trail.Change(ctx, a.actor, p.object, p.Changes)
+			r, err := trail.Apply(ctx, a.actor, p.object, p.Changes)
 			if errors.Is(err, store.ErrConflict) {
 				return a.explainConflict(ctx, s, args, err)
 			}
