--- a/core/opts/env.go
+++ b/core/opts/env.go
@@ -23,22 +23,27 @@
 func ReadEnv(flags *pflag.FlagSet) error {
 	var checks Checks
 	flags.VisitAll(func(f *pflag.Flag) {
-		value, ok := os.LookupEnv(Variable(f.Name))
+		value, ok := os.LookupEnv(EnvName(f.Name))
 		if !ok || f.Changed {
 			return
 		}
 		if err := flags.Set(f.Name, value); err != nil {
-			checks.Fault("%s: %v", Variable(f.Name), err)
+			checks.AddFault("%s: %v", EnvName(f.Name), err)
 		}
 	})
 	return checks.Err()
 }
 
-// Variable returns the name of a flag's environment variable.
-func Variable(flag string) string {
+// EnvName returns the name of a flag's environment variable.
+func EnvName(flag string) string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
+// AddFault adds a fault.
+func (c *Checks) AddFault(format string, args ...any) {
+	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+}
+
 // Err returns one error that lists every fault, or nil.
 func (c *Checks) Err() error {
 	if len(c.faults) == 0 {
@@ -47,14 +52,9 @@
 	return fmt.Errorf("%w:\n  %s", ErrInvalid, strings.Join(c.faults, "\n  "))
 }
 
-// Fault adds a fault.
-func (c *Checks) Fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf(format, args...))
-}
-
-// Need adds a fault unless the condition holds.
-func (c *Checks) Need(ok bool, format string, args ...any) {
+// Require adds a fault unless the condition holds.
+func (c *Checks) Require(ok bool, format string, args ...any) {
 	if !ok {
-		c.Fault(format, args...)
+		c.AddFault(format, args...)
 	}
 }
--- a/entry/internal/boot/settings.go
+++ b/entry/internal/boot/settings.go
@@ -61,20 +61,20 @@
 // Check returns one error that lists every invalid setting, or nil.
 func (s *Settings) Check() error {
 	var checks opts.Checks
-	checks.Need(decl.IsValidName(s.Name), "--name %q must be lower-case letters, digits, dots and dashes", s.Name)
-	checks.Need(s.Domain != "", "--failure-domain is missing")
+	checks.Require(decl.IsValidName(s.Name), "--name %q must be lower-case letters, digits, dots and dashes", s.Name)
+	checks.Require(s.Domain != "", "--failure-domain is missing")
 	for flag, address := range map[string]string{"listen": s.Listen, "peer-listen": s.PeerListen, "admin-listen": s.AdminListen} {
 		_, _, err := net.SplitHostPort(address)
-		checks.Need(err == nil, "--%s %q must be an address with a port", flag, address)
+		checks.Require(err == nil, "--%s %q must be an address with a port", flag, address)
 	}
 	platformURL, err := url.Parse(s.Platform)
-	checks.Need(err == nil && platformURL.Host != "", "--platform %q must be a URL", s.Platform)
-	checks.Need(len(s.FleetSecret) >= minSecretBytes, "--fleet-secret needs at least %d bytes", minSecretBytes)
+	checks.Require(err == nil && platformURL.Host != "", "--platform %q must be a URL", s.Platform)
+	checks.Require(len(s.FleetSecret) >= minSecretBytes, "--fleet-secret needs at least %d bytes", minSecretBytes)
 	operatorHash, err := hex.DecodeString(s.OperatorHash)
-	checks.Need(err == nil && len(operatorHash) == 32, "--operator-key-hash must be 64 hexadecimal digits")
-	checks.Need(s.Budget > 0, "--target-budget must be at least 1")
-	checks.Need(s.Costly > 0, "--costly-after must be at least 1")
-	checks.Need(s.Linger >= 0, "--linger must not be negative")
-	checks.Need(s.LameDuck >= 0 && s.DrainTimeout >= 0, "--lame-duck and --drain-timeout must not be negative")
+	checks.Require(err == nil && len(operatorHash) == 32, "--operator-key-hash must be 64 hexadecimal digits")
+	checks.Require(s.Budget > 0, "--target-budget must be at least 1")
+	checks.Require(s.Costly > 0, "--costly-after must be at least 1")
+	checks.Require(s.Linger >= 0, "--linger must not be negative")
+	checks.Require(s.LameDuck >= 0 && s.DrainTimeout >= 0, "--lame-duck and --drain-timeout must not be negative")
 	return checks.Err()
 }
--- a/wharfctl/internal/cmds/root.go
+++ b/wharfctl/internal/cmds/root.go
@@ -110,7 +110,7 @@
 // checkFlags checks the flags that all subcommands share.
 func (a *app) checkFlags() error {
 	var c opts.Checks
-	c.Need(a.format == formatTable || a.format == formatJSON, "--output %q must be table or json", a.format)
+	c.Require(a.format == formatTable || a.format == formatJSON, "--output %q must be table or json", a.format)
 	return c.Err()
 }
 
