--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -47,11 +47,11 @@
 
 // NewTrail returns a trail that is kept in a store.
 func NewTrail(s store.Store) *Trail {
-	return &Trail{store: store.Settled{Store: s}}
+	return &Trail{store: store.Verifying{Store: s}}
 }
 
 // Apply writes an object on behalf of a person and records the change.
-// The error wraps the store's, such as store.ErrUncertain, or store.ErrConflict if the object has changed since
+// The error wraps the store's, such as store.ErrOutcomeUnknown, or store.ErrConflict if the object has changed since
 // o.Revision.
 func (t *Trail) Apply(ctx context.Context, who string, o store.Object, changes []string) (Record, error) {
 	r := Record{
--- a/core/audit/trail_test.go
+++ b/core/audit/trail_test.go
@@ -37,12 +37,12 @@
 		stored    string  // The value of the sheet afterwards.
 	}{
 		"healthy":                               {fault: store.Healthy{}, outcome: Accepted, stored: "ours"},
-		"answers-lost":                          {fault: store.LoseAnswers{}, outcome: Accepted, stored: "ours"},
+		"answers-lost":                          {fault: store.LoseResponses{}, outcome: Accepted, stored: "ours"},
 		"writes-lost-for-a-while":               {fault: store.LoseWrites{}, faultEnds: 200 * time.Millisecond, outcome: Accepted, stored: "ours"},
 		"writes-lost":                           {fault: store.LoseWrites{}, wantErr: true},
 		"platform-down":                         {fault: store.Down{}, wantErr: true},
 		"competing-write-wins":                  {fault: store.Healthy{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
-		"competing-write-wins-and-answers-lost": {fault: store.LoseAnswers{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
+		"competing-write-wins-and-answers-lost": {fault: store.LoseResponses{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/store/http.go
+++ b/core/store/http.go
@@ -109,7 +109,7 @@
 	case http.StatusPreconditionFailed:
 		return ErrConflict
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return fmt.Errorf("platform answered %s: %w", response.Status, ErrDown)
+		return fmt.Errorf("platform answered %s: %w", response.Status, ErrUnreachable)
 	default:
 		return fmt.Errorf("platform answered %s: %w", response.Status, lostResponseError(request.Method))
 	}
@@ -149,9 +149,9 @@
 // lostResponseError returns the error for a call without a usable response: a PUT may have taken effect.
 func lostResponseError(method string) error {
 	if method == http.MethodPut {
-		return ErrUncertain
+		return ErrOutcomeUnknown
 	}
-	return ErrDown
+	return ErrUnreachable
 }
 
 // objectPath returns the URL path of one object.
--- a/core/store/memory.go
+++ b/core/store/memory.go
@@ -16,25 +16,25 @@
 // Healthy simulates no fault.
 type Healthy struct{}
 
-// Down fails every call with ErrDown.
+// Down fails every call with ErrUnreachable.
 type Down struct{}
 
-// LoseAnswers applies writes but reports them as ErrUncertain, as if their responses were lost.
-type LoseAnswers struct{}
+// LoseResponses applies writes but reports them as ErrOutcomeUnknown, as if their responses were lost.
+type LoseResponses struct{}
 
-// LoseWrites reports writes as ErrUncertain without applying them, as if the requests were lost.
+// LoseWrites reports writes as ErrOutcomeUnknown without applying them, as if the requests were lost.
 type LoseWrites struct{}
 
 // Slow delays every call.
 type Slow struct {
-	By time.Duration
+	Delay time.Duration
 }
 
-func (Healthy) isFault()     {}
-func (Down) isFault()        {}
-func (LoseAnswers) isFault() {}
-func (LoseWrites) isFault()  {}
-func (Slow) isFault()        {}
+func (Healthy) isFault()       {}
+func (Down) isFault()          {}
+func (LoseResponses) isFault() {}
+func (LoseWrites) isFault()    {}
+func (Slow) isFault()          {}
 
 // Memory is an in-memory Store with injectable faults; it is safe for concurrent use.
 type Memory struct {
@@ -71,7 +71,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Page{}, ErrDown
+			return Page{}, ErrUnreachable
 		case <-deadline.C:
 			return page, nil
 		case <-changed:
@@ -120,7 +120,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, lost := m.fault.(LoseWrites); lost {
-		return 0, ErrUncertain
+		return 0, ErrOutcomeUnknown
 	}
 	key := o.Kind + "/" + o.Name
 	if m.objects[key].Revision != o.Revision {
@@ -131,8 +131,8 @@
 	m.objects[key] = o
 	close(m.changed)
 	m.changed = make(chan struct{})
-	if _, lost := m.fault.(LoseAnswers); lost {
-		return 0, ErrUncertain
+	if _, lost := m.fault.(LoseResponses); lost {
+		return 0, ErrOutcomeUnknown
 	}
 	return o.Revision, nil
 }
@@ -160,12 +160,12 @@
 	m.mu.Unlock()
 	switch f := fault.(type) {
 	case Down:
-		return ErrDown
+		return ErrUnreachable
 	case Slow:
 		select {
 		case <-ctx.Done():
-			return ErrDown
-		case <-time.After(f.By):
+			return ErrUnreachable
+		case <-time.After(f.Delay):
 		}
 	}
 	return nil
--- a/core/store/store.go
+++ b/core/store/store.go
@@ -10,14 +10,14 @@
 
 // Errors of a Store.
 var (
-	ErrNotFound  = errors.New("object not found in the platform")
-	ErrConflict  = errors.New("object changed in the platform since it was read")
-	ErrUncertain = errors.New("platform did not answer; the write may have taken effect")
-	ErrDown      = errors.New("platform is not reachable")
+	ErrNotFound       = errors.New("object not found in the platform")
+	ErrConflict       = errors.New("object changed in the platform since it was read")
+	ErrOutcomeUnknown = errors.New("platform did not answer; the write may have taken effect")
+	ErrUnreachable    = errors.New("platform is not reachable")
 )
 
-// MaxValue limits the JSON encoding of one object, in bytes.
-const MaxValue = 1 << 20
+// MaxObjectBytes limits the JSON encoding of one object, in bytes.
+const MaxObjectBytes = 1 << 20
 
 // Object is one stored object; Revision is 0 for an object that is not stored yet.
 type Object struct {
@@ -55,7 +55,7 @@
 	// List returns all objects of the kinds.
 	List(ctx context.Context, kinds []string) (Page, error)
 	// Put writes an object if its stored revision is still o.Revision, and returns the new revision. It fails with
-	// ErrConflict when the revision differs, and with ErrUncertain when the write may have been applied.
+	// ErrConflict when the revision differs, and with ErrOutcomeUnknown when the write may have been applied.
 	Put(ctx context.Context, o Object) (uint64, error)
 }
 
--- a/core/store/settled_test.go
+++ b/core/store/verifying_test.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestSettledPut(t *testing.T) {
+func TestVerifyingPut(t *testing.T) {
 	cases := map[string]struct {
 		fault         Fault
 		faultDuration time.Duration // faultDuration is the time until the fault ends; 0 means never.
@@ -19,11 +19,11 @@
 		wantStored    bool // wantStored tells whether the written object is stored in the end.
 	}{
 		"healthy":              {fault: Healthy{}, wantStored: true},
-		"answer-lost":          {fault: LoseAnswers{}, wantStored: true},
+		"answer-lost":          {fault: LoseResponses{}, wantStored: true},
 		"write-lost-at-first":  {fault: LoseWrites{}, faultDuration: 100 * time.Millisecond, wantStored: true},
-		"write-lost-always":    {fault: LoseWrites{}, wantErr: ErrUncertain},
+		"write-lost-always":    {fault: LoseWrites{}, wantErr: ErrOutcomeUnknown},
 		"conflict":             {fault: Healthy{}, conflicting: true, wantErr: ErrConflict},
-		"conflict-answer-lost": {fault: LoseAnswers{}, conflicting: true, wantErr: ErrConflict},
+		"conflict-answer-lost": {fault: LoseResponses{}, conflicting: true, wantErr: ErrConflict},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 				if test.faultDuration > 0 {
 					time.AfterFunc(test.faultDuration, func() { memory.SetFault(Healthy{}) })
 				}
-				_, err := Settled{Store: memory}.Put(ctx, Object{Kind: "k", Name: "n", WriteID: "ours"})
+				_, err := Verifying{Store: memory}.Put(ctx, Object{Kind: "k", Name: "n", WriteID: "ours"})
 				c.Assert(errors.Is(err, test.wantErr), quicktest.IsTrue, quicktest.Commentf("%v", err))
 				memory.SetFault(Healthy{})
 				o, _ := memory.Get(t.Context(), "k", "n")
--- a/entry/internal/node/node.go
+++ b/entry/internal/node/node.go
@@ -68,7 +68,7 @@
 		return nil, fmt.Errorf("set up event ids: %w", err)
 	}
 	n := &Node{done: make(chan struct{})}
-	platform := store.NewCounted(b.Platform, set)
+	platform := store.NewInstrumented(b.Platform, set)
 	n.Watch = watch.New(platform, b.Peers, logger, set)
 	n.Fleet = fleet.New(fleet.Settings{Self: s.Self, Seeds: s.Seeds}, b.Peers, platform, n.Watch, logger, set)
 	n.Watch.Start(n.Fleet)
--- a/entry/internal/once/claim.go
+++ b/entry/internal/once/claim.go
@@ -105,7 +105,7 @@
 		return object, fmt.Errorf("encode claim: %w", err)
 	}
 	updated := object.WithValue(token.NewID(), encoded)
-	revision, err := store.Settled{Store: s.store}.Put(ctx, updated)
+	revision, err := store.Verifying{Store: s.store}.Put(ctx, updated)
 	if err != nil {
 		return updated, fmt.Errorf("write claim: %w", err)
 	}
--- a/entry/internal/proof/order_test.go
+++ b/entry/internal/proof/order_test.go
@@ -67,8 +67,8 @@
 		},
 		"platform-down":          func(w *world, _ *orderCaller) { w.failPlatform(store.Down{}) },
 		"platform-frozen":        func(w *world, _ *orderCaller) { pause(w, platformName) },
-		"platform-slow":          func(w *world, _ *orderCaller) { w.failPlatform(store.Slow{By: 1500 * time.Millisecond}) },
-		"platform-loses-answers": func(w *world, _ *orderCaller) { w.failPlatform(store.LoseAnswers{}) },
+		"platform-slow":          func(w *world, _ *orderCaller) { w.failPlatform(store.Slow{Delay: 1500 * time.Millisecond}) },
+		"platform-loses-answers": func(w *world, _ *orderCaller) { w.failPlatform(store.LoseResponses{}) },
 		"platform-loses-writes":  func(w *world, _ *orderCaller) { w.failPlatform(store.LoseWrites{}) },
 		"sent-twice":             func(_ *world, o *orderCaller) { go o.send(1) },
 	}
--- a/entry/internal/proof/sheet_test.go
+++ b/entry/internal/proof/sheet_test.go
@@ -31,7 +31,7 @@
 	return map[string]func(w *world){
 		"platform-down":           func(w *world) { w.failPlatform(store.Down{}) },
 		"platform-frozen":         func(w *world) { pause(w, platformName) },
-		"platform-slow":           func(w *world) { w.failPlatform(store.Slow{By: time.Second}) },
+		"platform-slow":           func(w *world) { w.failPlatform(store.Slow{Delay: time.Second}) },
 		"watcher-killed":          func(w *world) { w.setState(w.watcher(), dead) },
 		"watcher-restarted":       func(w *world) { w.restartNode(w.watcher()) },
 		"watcher-paused":          func(w *world) { pause(w, w.watcher()) },
--- a/entry/internal/proof/world_test.go
+++ b/entry/internal/proof/world_test.go
@@ -335,11 +335,11 @@
 	ctx, cancel := f.withTimeout(ctx, wait)
 	defer cancel()
 	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
-		return store.Page{}, store.ErrDown
+		return store.Page{}, store.ErrUnreachable
 	}
 	page, err := f.w.platform.Changes(ctx, kinds, after, wait)
 	if f.w.transmit(ctx, platformName, f.nodeName) != nil {
-		return store.Page{}, store.ErrDown
+		return store.Page{}, store.ErrUnreachable
 	}
 	return page, err
 }
@@ -349,11 +349,11 @@
 	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
 	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
-		return store.Object{}, store.ErrDown
+		return store.Object{}, store.ErrUnreachable
 	}
 	o, err := f.w.platform.Get(ctx, kind, name)
 	if f.w.transmit(ctx, platformName, f.nodeName) != nil {
-		return store.Object{}, store.ErrDown
+		return store.Object{}, store.ErrUnreachable
 	}
 	return o, err
 }
@@ -363,7 +363,7 @@
 	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
 	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
-		return nil, store.ErrDown
+		return nil, store.ErrUnreachable
 	}
 	return f.w.platform.Instances(ctx)
 }
@@ -373,7 +373,7 @@
 	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
 	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
-		return store.Page{}, store.ErrDown
+		return store.Page{}, store.ErrUnreachable
 	}
 	return f.w.platform.List(ctx, kinds)
 }
@@ -383,12 +383,12 @@
 	ctx, cancel := f.withTimeout(ctx, 0)
 	defer cancel()
 	if f.w.transmit(ctx, f.nodeName, platformName) != nil {
-		return 0, store.ErrUncertain
+		return 0, store.ErrOutcomeUnknown
 	}
 	revision, err := f.w.platform.Put(ctx, o)
 	f.w.runHooks("put-" + o.Kind + "-" + claimPhase(o))
 	if f.w.transmit(ctx, platformName, f.nodeName) != nil {
-		return 0, store.ErrUncertain
+		return 0, store.ErrOutcomeUnknown
 	}
 	return revision, err
 }
--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, fence.RenewInterval)
 	defer cancel()
 	o := store.Object{Kind: kindLease, Name: leaseName, Revision: s.leaseSeen.Revision}
-	revision, err := store.Settled{Store: s.store}.Put(ctx, o.WithValue(token.NewID(), raw))
+	revision, err := store.Verifying{Store: s.store}.Put(ctx, o.WithValue(token.NewID(), raw))
 	if err != nil {
 		s.readLease(ctx)
 		return
--- a/stand/plat/server.go
+++ b/stand/plat/server.go
@@ -113,8 +113,8 @@
 		http.Error(w, "too many writes", http.StatusTooManyRequests)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, store.MaxValue+1))
-	if err != nil || len(body) > store.MaxValue {
+	body, err := io.ReadAll(io.LimitReader(r.Body, store.MaxObjectBytes+1))
+	if err != nil || len(body) > store.MaxObjectBytes {
 		http.Error(w, "value is cut or over 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -184,7 +184,7 @@
 	}
 }
 
-// respond writes a value or the status of an error; for ErrUncertain it closes the connection without an answer.
+// respond writes a value or the status of an error; for ErrOutcomeUnknown it closes the connection without an answer.
 func (p *Server) respond(w http.ResponseWriter, value any, err error) {
 	switch {
 	case err == nil:
@@ -194,9 +194,9 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, store.ErrConflict):
 		http.Error(w, err.Error(), http.StatusPreconditionFailed)
-	case errors.Is(err, store.ErrUncertain):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		panic(http.ErrAbortHandler)
-	case errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrUnreachable):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -222,11 +222,11 @@
 	case "down":
 		return store.Down{}, true
 	case "lose-answers":
-		return store.LoseAnswers{}, true
+		return store.LoseResponses{}, true
 	case "lose-writes":
 		return store.LoseWrites{}, true
 	case "slow":
-		return store.Slow{By: time.Second}, true
+		return store.Slow{Delay: time.Second}, true
 	default:
 		return nil, false
 	}
--- a/wharfctl/internal/cmds/root.go
+++ b/wharfctl/internal/cmds/root.go
@@ -68,7 +68,7 @@
 		return exitRejected
 	case errors.Is(err, store.ErrConflict):
 		return exitConflict
-	case errors.Is(err, store.ErrUncertain), errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, store.ErrUnreachable):
 		return exitNoAnswer
 	case errors.Is(err, errUsage), errors.Is(err, opts.ErrInvalid):
 		return exitUsage
