--- a/core/peer/key.go
+++ b/core/peer/key.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrStranger is returned when the other end's certificate does not carry the fleet's key.
-var ErrStranger = errors.New("peer does not hold the fleet's key")
+// ErrWrongFleetKey is returned when the other end's certificate does not carry the fleet's key.
+var ErrWrongFleetKey = errors.New("peer does not hold the fleet's key")
 
 // alpnProtocol is the ALPN name of the protocol between instances.
 const alpnProtocol = "bramleywharf-peer-1"
@@ -61,11 +61,11 @@
 func verifyFleetKey(publicKey ed25519.PublicKey) func(tls.ConnectionState) error {
 	return func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
-			return ErrStranger
+			return ErrWrongFleetKey
 		}
 		peerKey, ok := state.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 		if !ok || subtle.ConstantTimeCompare(peerKey, publicKey) != 1 {
-			return ErrStranger
+			return ErrWrongFleetKey
 		}
 		return nil
 	}
--- a/core/peer/quic.go
+++ b/core/peer/quic.go
@@ -27,8 +27,8 @@
 // ErrRefused is returned when the other end rejected the request with wire.Failed.
 var ErrRefused = errors.New("peer refused the message")
 
-// Quic is a Net over QUIC that also serves the requests of other instances.
-type Quic struct {
+// QUIC is a Client over QUIC that also serves the requests of other instances.
+type QUIC struct {
 	transport     *quic.Transport
 	listener      *quic.Listener
 	tls           *tls.Config
@@ -47,10 +47,10 @@
 	done            chan struct{}
 }
 
-var _ Net = (*Quic)(nil)
+var _ Client = (*QUIC)(nil)
 
-// NewQuic listens on a UDP address and serves requests with the handler until Close.
-func NewQuic(address string, secret []byte, handler Handler, set *metrics.Set) (*Quic, error) {
+// NewQUIC listens on a UDP address and serves requests with the handler until Close.
+func NewQUIC(address string, secret []byte, handler Handler, set *metrics.Set) (*QUIC, error) {
 	tlsConfig, err := fleetTLS(secret)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
-	q := &Quic{
+	q := &QUIC{
 		transport: &quic.Transport{Conn: socket},
 		tls:       tlsConfig,
 		quicConfig: &quic.Config{
@@ -96,12 +96,12 @@
 }
 
 // Address returns the UDP address on which it listens.
-func (q *Quic) Address() string {
+func (q *QUIC) Address() string {
 	return q.listener.Addr().String()
 }
 
-// Ask sends a request to a peer address and returns the response.
-func (q *Quic) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
+// Call sends a request to a peer address and returns the response.
+func (q *QUIC) Call(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
 	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, defaultTimeout)
@@ -127,7 +127,7 @@
 }
 
 // Close stops serving, waits for the handlers and closes all connections.
-func (q *Quic) Close() {
+func (q *QUIC) Close() {
 	q.cancel()
 	_ = q.listener.Close()
 	q.mu.Lock()
@@ -142,12 +142,12 @@
 }
 
 // Done returns a channel that closes when the last handler has returned after Close.
-func (q *Quic) Done() <-chan struct{} {
+func (q *QUIC) Done() <-chan struct{} {
 	return q.done
 }
 
 // accept serves incoming connections until the context ends or the listener closes.
-func (q *Quic) accept(ctx context.Context) {
+func (q *QUIC) accept(ctx context.Context) {
 	for {
 		conn, err := q.listener.Accept(ctx)
 		if err != nil {
@@ -159,7 +159,7 @@
 }
 
 // handleStream reads the one request of a stream and writes the response.
-func (q *Quic) handleStream(ctx context.Context, stream *quic.Stream) {
+func (q *QUIC) handleStream(ctx context.Context, stream *quic.Stream) {
 	defer func() { _ = stream.Close() }()
 	_ = stream.SetDeadline(time.Now().Add(30 * time.Second))
 	m, err := q.readMessage(stream)
@@ -176,7 +176,7 @@
 }
 
 // connect returns the open connection to a peer address, or dials one; concurrent calls share one dial.
-func (q *Quic) connect(ctx context.Context, address string) (*quic.Conn, error) {
+func (q *QUIC) connect(ctx context.Context, address string) (*quic.Conn, error) {
 	q.mu.Lock()
 	conn, ok := q.connByAddress[address]
 	q.mu.Unlock()
@@ -194,7 +194,7 @@
 }
 
 // dial opens a connection to a peer address and keeps it for reuse.
-func (q *Quic) dial(address string) (*quic.Conn, error) {
+func (q *QUIC) dial(address string) (*quic.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
@@ -213,14 +213,14 @@
 }
 
 // connectionCount returns the number of open connections.
-func (q *Quic) connectionCount() int {
+func (q *QUIC) connectionCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.openConns)
 }
 
 // roundTrip sends an encoded request on a new stream and reads the response.
-func (q *Quic) roundTrip(ctx context.Context, conn *quic.Conn, raw []byte) (wire.Message, error) {
+func (q *QUIC) roundTrip(ctx context.Context, conn *quic.Conn, raw []byte) (wire.Message, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("open stream: %w", err)
@@ -241,7 +241,7 @@
 }
 
 // discard closes a connection that failed, so that the next request dials a new one.
-func (q *Quic) discard(address string, conn *quic.Conn) {
+func (q *QUIC) discard(address string, conn *quic.Conn) {
 	q.mu.Lock()
 	if q.connByAddress[address] == conn {
 		delete(q.connByAddress, address)
@@ -251,7 +251,7 @@
 }
 
 // readMessage reads a stream to its end and decodes its one message.
-func (q *Quic) readMessage(r io.Reader) (wire.Message, error) {
+func (q *QUIC) readMessage(r io.Reader) (wire.Message, error) {
 	raw, err := io.ReadAll(io.LimitReader(r, wire.MaxSize))
 	if err != nil {
 		return nil, fmt.Errorf("receive: %w", err)
@@ -261,7 +261,7 @@
 }
 
 // serveConn serves the streams of one connection until it closes.
-func (q *Quic) serveConn(ctx context.Context, conn *quic.Conn) {
+func (q *QUIC) serveConn(ctx context.Context, conn *quic.Conn) {
 	defer func() { _ = conn.CloseWithError(0, "closing") }()
 	for {
 		stream, err := conn.AcceptStream(ctx)
@@ -273,7 +273,7 @@
 }
 
 // trackConn includes a connection in the metrics, and removes it from the maps when it closes.
-func (q *Quic) trackConn(conn *quic.Conn) {
+func (q *QUIC) trackConn(conn *quic.Conn) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.openConns[conn] = true
@@ -291,7 +291,7 @@
 }
 
 // wireBytes returns the bytes that all connections have sent and received, including IP and UDP headers.
-func (q *Quic) wireBytes() int {
+func (q *QUIC) wireBytes() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	sum := q.closedWireBytes
--- a/core/peer/quic_test.go
+++ b/core/peer/quic_test.go
@@ -12,8 +12,8 @@
 )
 
 // startPeer starts a peer that answers each wire.PullConfig with a wire.ConfigPage and rejects other messages.
-func startPeer(c *quicktest.C, address, secret string) *Quic {
-	q, err := NewQuic(address, []byte(secret), func(_ context.Context, m wire.Message) wire.Message {
+func startPeer(c *quicktest.C, address, secret string) *QUIC {
+	q, err := NewQUIC(address, []byte(secret), func(_ context.Context, m wire.Message) wire.Message {
 		p, ok := m.(wire.PullConfig)
 		if !ok {
 			return wire.Failed{Reason: "not a pull"}
@@ -24,7 +24,7 @@
 	return q
 }
 
-func TestAsk(t *testing.T) {
+func TestCall(t *testing.T) {
 	cases := map[string]struct {
 		secret  string // secret is the fleet's secret as the client knows it.
 		request wire.Message
@@ -43,7 +43,7 @@
 			defer server.Close()
 			client := startPeer(c, "127.0.0.1:0", test.secret)
 			defer client.Close()
-			got, err := client.Ask(t.Context(), server.Address(), test.request)
+			got, err := client.Call(t.Context(), server.Address(), test.request)
 			c.Assert(err != nil, quicktest.Equals, test.wantErr, quicktest.Commentf("%v", err))
 			if !test.wantErr {
 				c.Assert(got, quicktest.DeepEquals, test.want)
@@ -52,21 +52,21 @@
 	}
 }
 
-// TestAskAfterRestart checks that requests to a peer that has restarted at its address use a new connection.
-func TestAskAfterRestart(t *testing.T) {
+// TestCallAfterRestart checks that requests to a peer that has restarted at its address use a new connection.
+func TestCallAfterRestart(t *testing.T) {
 	c := quicktest.New(t)
 	client := startPeer(c, "127.0.0.1:0", "fleet")
 	defer client.Close()
 	server := startPeer(c, "127.0.0.1:0", "fleet")
 	address := server.Address()
 	for range 3 {
-		_, err := client.Ask(t.Context(), address, wire.PullConfig{})
+		_, err := client.Call(t.Context(), address, wire.PullConfig{})
 		c.Assert(err, quicktest.IsNil)
 		server.Close()
 		server = startPeer(c, address, "fleet")
 		deadline := time.Now().Add(10 * time.Second)
 		for {
-			if _, err := client.Ask(t.Context(), address, wire.PullConfig{}); err == nil {
+			if _, err := client.Call(t.Context(), address, wire.PullConfig{}); err == nil {
 				break
 			}
 			c.Assert(time.Now().Before(deadline), quicktest.IsTrue)
@@ -75,7 +75,7 @@
 	server.Close()
 }
 
-func TestAskConcurrently(t *testing.T) {
+func TestCallConcurrently(t *testing.T) {
 	c := quicktest.New(t)
 	server := startPeer(c, "127.0.0.1:0", "fleet")
 	defer server.Close()
@@ -84,7 +84,7 @@
 	var group sync.WaitGroup
 	for i := range 200 {
 		group.Go(func() {
-			got, err := client.Ask(t.Context(), server.Address(), wire.PullConfig{After: uint64(i)})
+			got, err := client.Call(t.Context(), server.Address(), wire.PullConfig{After: uint64(i)})
 			c.Check(err, quicktest.IsNil)
 			c.Check(got, quicktest.DeepEquals, wire.Message(wire.ConfigPage{Revision: uint64(i) + 1}))
 		})
--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -61,7 +61,7 @@
 	*wait.Loop
 	feeds      []*Feed
 	loads      Loads
-	net        peer.Net
+	peers      peer.Client
 	log        log.Interface
 	newerPeers chan string // newerPeers passes on the address of a peer that has a newer revision.
 
@@ -73,8 +73,8 @@
 }
 
 // NewSwap returns a Swap that answers pulls; it makes its own pulls after Start.
-func NewSwap(net peer.Net, loads Loads, logger log.Interface, feeds ...*Feed) *Swap {
-	return &Swap{feeds: feeds, loads: loads, net: net, log: logger, newerPeers: make(chan string, 1)}
+func NewSwap(peers peer.Client, loads Loads, logger log.Interface, feeds ...*Feed) *Swap {
+	return &Swap{feeds: feeds, loads: loads, peers: peers, log: logger, newerPeers: make(chan string, 1)}
 }
 
 // Start begins to pull from members.
@@ -165,7 +165,7 @@
 	for _, f := range s.feeds {
 		request.Marks = append(request.Marks, wire.Mark{Kind: f.Kind(), At: f.View().Revision()})
 	}
-	response, err := s.net.Ask(ctx, address, request)
+	response, err := s.peers.Call(ctx, address, request)
 	s.logPullResult(address, err)
 	pages, ok := response.(wire.Pages)
 	if err != nil || !ok {
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -55,7 +55,7 @@
 type Fleet struct {
 	*wait.Loop
 	settings        Settings
-	net             peer.Net
+	peers           peer.Client
 	list            Lister
 	freshness       Freshness
 	log             log.Interface
@@ -73,10 +73,10 @@
 }
 
 // New returns a fleet that knows only its own instance and starts to look for others.
-func New(s Settings, net peer.Net, platform Lister, freshness Freshness, logger log.Interface, set *metrics.Set) *Fleet {
+func New(s Settings, peers peer.Client, platform Lister, freshness Freshness, logger log.Interface, set *metrics.Set) *Fleet {
 	f := &Fleet{
 		settings:      s,
-		net:           net,
+		peers:         peers,
 		list:          platform,
 		freshness:     freshness,
 		log:           logger,
@@ -147,7 +147,7 @@
 	forward, full := gossip.Forward, gossip.Full
 	gossip = f.newHeartbeat(false, address)
 	gossip.Forward, gossip.Full = forward, full
-	answer, err := f.net.Ask(ctx, address, gossip)
+	answer, err := f.peers.Call(ctx, address, gossip)
 	if err != nil {
 		return wire.Gossip{}, err
 	}
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -37,8 +37,8 @@
 	self string
 }
 
-// Ask delivers a message, or times out if either direction is cut.
-func (e endpoint) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
+// Call delivers a message, or times out if either direction is cut.
+func (e endpoint) Call(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
 	e.net.mu.Lock()
 	to, cut := e.net.fleets[address], e.net.cut
 	e.net.mu.Unlock()
--- a/entry/inst/inst.go
+++ b/entry/inst/inst.go
@@ -96,7 +96,7 @@
 	deps          Borders
 	log           log.Interface
 	set           *metrics.Set
-	peerTransport *peer.Quic
+	peerTransport *peer.QUIC
 	exchange      *feed.Swap
 	board         *board.Board
 	fleet         atomic.Pointer[fleet.Fleet]
@@ -199,7 +199,7 @@
 	}
 	i.picker.Name(self.Name, self.Incarnation)
 	joined := make(chan struct{})
-	i.peerTransport, err = peer.NewQuic(self.PeerAddress, secret, i.peerHandler(joined), i.set)
+	i.peerTransport, err = peer.NewQUIC(self.PeerAddress, secret, i.peerHandler(joined), i.set)
 	if err != nil {
 		return fmt.Errorf("start peer transport: %w", err)
 	}
--- a/entry/internal/boot/instance.go
+++ b/entry/internal/boot/instance.go
@@ -31,7 +31,7 @@
 type Instance struct {
 	settings     Settings
 	log          log.Interface
-	peers        *peer.Quic
+	peers        *peer.QUIC
 	node         *node.Node
 	front        *front.Front
 	callerServer *http.Server
@@ -54,7 +54,7 @@
 	}
 	ready := make(chan struct{})
 	var err error
-	i.peers, err = peer.NewQuic(s.PeerListen, []byte(s.FleetSecret), i.peerHandler(ready), set)
+	i.peers, err = peer.NewQUIC(s.PeerListen, []byte(s.FleetSecret), i.peerHandler(ready), set)
 	if err != nil {
 		return nil, fmt.Errorf("start peer transport: %w", err)
 	}
--- a/entry/internal/keep/keep.go
+++ b/entry/internal/keep/keep.go
@@ -49,7 +49,7 @@
 	fleet              Fleet
 	targets            Targets
 	engines            engine.Client
-	peers              peer.Net
+	peers              peer.Client
 	generations        sync.Map // generations maps request ids to a *generation for each generation of this instance.
 	replicatedTokens   *metrics.Counter
 	stoppedGenerations *metrics.Counter
@@ -75,7 +75,7 @@
 var _ relay.Journal = (*Keep)(nil)
 
 // New returns a running controller.
-func New(s Settings, fleet Fleet, targets Targets, engines engine.Client, peers peer.Net, set *metrics.Set) *Keep {
+func New(s Settings, fleet Fleet, targets Targets, engines engine.Client, peers peer.Client, set *metrics.Set) *Keep {
 	k := &Keep{
 		settings:           s,
 		fleet:              fleet,
--- a/entry/internal/keep/loop.go
+++ b/entry/internal/keep/loop.go
@@ -87,7 +87,7 @@
 	m, ok := k.fleet.View().Get(keeper)
 	unknown := make(map[string]bool)
 	if ok {
-		reply, err := k.peers.Ask(ctx, m.PeerAddress, wire.Keep{From: k.fleet.Self().Name, Logs: b.logs})
+		reply, err := k.peers.Call(ctx, m.PeerAddress, wire.Keep{From: k.fleet.Self().Name, Logs: b.logs})
 		kept, isKept := reply.(wire.Kept)
 		ok = err == nil && isKept
 		for _, request := range kept.Unknown {
--- a/entry/internal/lend/lend.go
+++ b/entry/internal/lend/lend.go
@@ -49,7 +49,7 @@
 	*wait.Loop
 	fleet          Fleet
 	config         Source
-	peers          peer.Net
+	peers          peer.Client
 	startedAt      time.Time
 	accounts       sync.Map // accounts maps organisations to their *account.
 	borrowNow      chan struct{}
@@ -62,7 +62,7 @@
 }
 
 // New returns a running controller.
-func New(fleet Fleet, config Source, peers peer.Net, set *metrics.Set) *Lend {
+func New(fleet Fleet, config Source, peers peer.Client, set *metrics.Set) *Lend {
 	l := &Lend{
 		fleet:          fleet,
 		config:         config,
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -48,7 +48,7 @@
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 		defer cancel()
-		answer, err = l.peers.Ask(ctx, r.lender.PeerAddress, m)
+		answer, err = l.peers.Call(ctx, r.lender.PeerAddress, m)
 	}
 	lent, ok := answer.(wire.Lent)
 	if err != nil || !ok || len(lent.Slots) != len(r.wants) {
--- a/entry/internal/node/node.go
+++ b/entry/internal/node/node.go
@@ -43,7 +43,7 @@
 	Platform store.Store
 	Engines  engine.Client
 	Services engine.Caller
-	Peers    peer.Net
+	Peers    peer.Client
 }
 
 // Node is an entry instance without its servers.
--- a/entry/internal/once/issuer.go
+++ b/entry/internal/once/issuer.go
@@ -54,7 +54,7 @@
 	startedAt  time.Time
 	aead       cipher.AEAD
 	members    Members
-	peers      peer.Net
+	peers      peer.Client
 	lastSerial atomic.Uint64
 
 	mu        sync.Mutex
@@ -70,7 +70,7 @@
 }
 
 // NewIssuer returns the issuer of a named instance, whose epoch changes with each start.
-func NewIssuer(instance string, epoch uint64, secret []byte, members Members, peers peer.Net) (*Issuer, error) {
+func NewIssuer(instance string, epoch uint64, secret []byte, members Members, peers peer.Client) (*Issuer, error) {
 	key, err := hkdf.Key(sha256.New, secret, nil, "bramleywharf issued key", 32)
 	if err != nil {
 		return nil, fmt.Errorf("derive key: %w", err)
@@ -124,7 +124,7 @@
 		return refuseIssuerUnreachable()
 	}
 	deadline, _ := ctx.Deadline()
-	answer, err := i.peers.Ask(ctx, issuer.PeerAddress, wire.Spend{
+	answer, err := i.peers.Call(ctx, issuer.PeerAddress, wire.Spend{
 		Key:          order.Call.Key,
 		Organisation: order.Organisation,
 		Service:      order.Service,
--- a/entry/internal/proof/world_test.go
+++ b/entry/internal/proof/world_test.go
@@ -244,7 +244,7 @@
 		Platform: &fakeStore{w: w, nodeName: name},
 		Engines:  &fakeEngines{w: w, nodeName: name},
 		Services: &fakeServices{w: w, nodeName: name},
-		Peers:    &fakeNet{w: w, nodeName: name},
+		Peers:    &fakePeers{w: w, nodeName: name},
 	}, &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}, metrics.NewSet())
 	if err != nil {
 		w.t.Fatal(err)
@@ -293,14 +293,14 @@
 	return [2]string{a, b}
 }
 
-// fakeNet is the peer.Net of one node.
-type fakeNet struct {
+// fakePeers is the peer.Client of one node.
+type fakePeers struct {
 	w        *world
 	nodeName string
 }
 
-// Ask sends a message to a peer and returns its answer.
-func (f *fakeNet) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
+// Call sends a message to a peer and returns its answer.
+func (f *fakePeers) Call(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if err := f.w.transmit(ctx, f.nodeName, address); err != nil {
--- a/entry/internal/serve/serve.go
+++ b/entry/internal/serve/serve.go
@@ -48,12 +48,12 @@
 	relay  *relay.Relay
 	once   *once.Once
 	keeper Keeper
-	peers  peer.Net
+	peers  peer.Client
 	sealer *token.Sealer
 }
 
 // New returns a server that runs generations and service calls with the given parts.
-func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Net, sealer *token.Sealer) *Server {
+func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Client, sealer *token.Sealer) *Server {
 	return &Server{fleet: fleet, relay: generations, once: calls, keeper: keeper, peers: peers, sealer: sealer}
 }
 
@@ -109,7 +109,7 @@
 	if name == s.fleet.Self().Name {
 		answer = s.keeper.Adopt(request)
 	} else if m, ok := s.fleet.View().Get(name); ok && m.State != member.Dead {
-		answer, _ = s.peers.Ask(ctx, m.PeerAddress, request)
+		answer, _ = s.peers.Call(ctx, m.PeerAddress, request)
 	}
 	adopted, _ := answer.(wire.Adopted)
 	return adopted
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -66,7 +66,7 @@
 type Watch struct {
 	*wait.Loop
 	store           store.Store
-	peers           peer.Net
+	peers           peer.Client
 	roles           Roles
 	log             log.Interface
 	snapshot        *cell.Cell[*conf.Snapshot]
@@ -79,7 +79,7 @@
 }
 
 // New returns a controller that Start must run, once the roles are known.
-func New(platform store.Store, peers peer.Net, logger log.Interface, set *metrics.Set) *Watch {
+func New(platform store.Store, peers peer.Client, logger log.Interface, set *metrics.Set) *Watch {
 	w := &Watch{
 		store:           platform,
 		peers:           peers,
@@ -202,7 +202,7 @@
 func (w *Watch) pullFrom(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	answer, err := w.peers.Ask(ctx, address, wire.PullConfig{After: w.Revision()})
+	answer, err := w.peers.Call(ctx, address, wire.PullConfig{After: w.Revision()})
 	if err != nil {
 		w.log.WithError(err).Debug("cannot pull configuration from a peer; waiting for a heartbeat with a newer revision")
 		return
