--- a/Makefile
+++ b/Makefile
@@ -44,7 +44,7 @@
 # Runs each fuzz target for FUZZ_TIME; make test runs only the committed inputs.
 fuzz:
 	go test -fuzz FuzzParse -fuzztime $(FUZZ_TIME) ./core/sheet
-	go test -fuzz FuzzOpen -fuzztime $(FUZZ_TIME) ./core/token
+	go test -fuzz FuzzOpen -fuzztime $(FUZZ_TIME) ./core/cursor
 	go test -fuzz FuzzDecode -fuzztime $(FUZZ_TIME) ./core/wire
 	go test -fuzz FuzzParse -fuzztime $(FUZZ_TIME) ./core/decl
 	go test -fuzz FuzzComplete -fuzztime $(FUZZ_TIME) ./entry/internal/front
@@ -57,7 +57,7 @@
 
 bench: build
 	./hack/bench.sh
-	go test -run '^$$' -bench . -benchmem ./core/token ./entry/internal/relay ./platform/internal/edge
+	go test -run '^$$' -bench . -benchmem ./core/cursor ./entry/internal/relay ./platform/internal/edge
 
 # Measures the resource use of instances at several sizes and extrapolates it to the design size.
 slopes: build
--- a/core/audit/trail.go
+++ b/core/audit/trail.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"bramleywharf.example/core/conf"
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/store"
-	"bramleywharf.example/core/token"
 	"github.com/pkg/errors"
 )
 
@@ -55,7 +55,7 @@
 // o.Revision.
 func (t *Trail) Apply(ctx context.Context, who string, o store.Object, changes []string) (Record, error) {
 	r := Record{
-		ID:      token.NewID(),
+		ID:      cursor.NewID(),
 		At:      time.Now().UTC().Truncate(time.Millisecond),
 		Who:     who,
 		Kind:    o.Kind,
@@ -121,7 +121,7 @@
 	if err != nil {
 		return o, fmt.Errorf("encode record: %w", err)
 	}
-	next := o.WithValue(token.NewID(), raw)
+	next := o.WithValue(cursor.NewID(), raw)
 	next.Revision, err = t.store.Put(ctx, next)
 	return next, err
 }
--- /dev/null
+++ b/core/cursor/id.go
@@ -0,0 +1,8 @@
+package cursor
+
+import "crypto/rand"
+
+// NewID returns a random identifier for a request or write.
+func NewID() string {
+	return rand.Text()
+}
--- a/core/token/cursor_test.go
+++ b/core/cursor/sealer_test.go
@@ -1,4 +1,4 @@
-package token
+package cursor
 
 import (
 	"testing"
@@ -14,21 +14,21 @@
 }
 
 func TestSealer(t *testing.T) {
-	cursor := Cursor{Request: "r", Model: "m", Version: "1", Target: "t", Attempt: 2, Offset: 7, Hash: 9, Origin: "o", Keeper: "k", Max: 10}
+	cursor := Cursor{RequestID: "r", Model: "m", Version: "1", Target: "t", Attempt: 2, Offset: 7, Hash: 9, Origin: "o", Backup: "k", MaxTokens: 10}
 	cases := map[string]struct {
 		organisation string
 		secret       string
 		tamper       func(string) string
-		wantForged   bool
+		wantInvalid  bool
 	}{
 		"same-organisation":  {organisation: "north", secret: "fleet"},
-		"other-organisation": {organisation: "south", secret: "fleet", wantForged: true},
-		"other-fleet":        {organisation: "north", secret: "other", wantForged: true},
-		"bit-changed":        {organisation: "north", secret: "fleet", tamper: func(s string) string { return s[:9] + differentLetter(s[9]) + s[10:] }, wantForged: true},
-		"truncated":          {organisation: "north", secret: "fleet", tamper: func(s string) string { return s[:len(s)-4] }, wantForged: true},
-		"empty":              {organisation: "north", secret: "fleet", tamper: func(string) string { return "" }, wantForged: true},
-		"not-in-alphabet":    {organisation: "north", secret: "fleet", tamper: func(s string) string { return "!" + s[1:] }, wantForged: true},
-		"too-long":           {organisation: "north", secret: "fleet", tamper: func(s string) string { return s + string(make([]byte, MaxLength)) }, wantForged: true},
+		"other-organisation": {organisation: "south", secret: "fleet", wantInvalid: true},
+		"other-fleet":        {organisation: "north", secret: "other", wantInvalid: true},
+		"bit-changed":        {organisation: "north", secret: "fleet", tamper: func(s string) string { return s[:9] + differentLetter(s[9]) + s[10:] }, wantInvalid: true},
+		"truncated":          {organisation: "north", secret: "fleet", tamper: func(s string) string { return s[:len(s)-4] }, wantInvalid: true},
+		"empty":              {organisation: "north", secret: "fleet", tamper: func(string) string { return "" }, wantInvalid: true},
+		"not-in-alphabet":    {organisation: "north", secret: "fleet", tamper: func(s string) string { return "!" + s[1:] }, wantInvalid: true},
+		"too-long":           {organisation: "north", secret: "fleet", tamper: func(s string) string { return s + string(make([]byte, MaxIDBytes)) }, wantInvalid: true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 				id = test.tamper(id)
 			}
 			got, err := mustNewSealer(c, test.secret).Open(test.organisation, id)
-			if test.wantForged {
-				c.Assert(errors.Is(err, ErrForged), quicktest.IsTrue)
+			if test.wantInvalid {
+				c.Assert(errors.Is(err, ErrInvalidID), quicktest.IsTrue)
 				return
 			}
 			c.Assert(err, quicktest.IsNil)
@@ -62,7 +62,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	id, err := s.Seal("north", Cursor{Request: "r"})
+	id, err := s.Seal("north", Cursor{RequestID: "r"})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	cursor := Cursor{Request: NewID(), Model: "boot-design", Version: "2026-11", Target: "engine-b", Attempt: 1, Offset: 70000, Hash: 1 << 60, Origin: "entry-1", Keeper: "entry-2", Max: 100000, Owner: "ABCDEFGHIJKL"}
+	cursor := Cursor{RequestID: NewID(), Model: "boot-design", Version: "2026-11", Target: "engine-b", Attempt: 1, Offset: 70000, Hash: 1 << 60, Origin: "entry-1", Backup: "entry-2", MaxTokens: 100000, RunID: "ABCDEFGHIJKL"}
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := s.Seal("north", cursor); err != nil {
--- a/entry/internal/front/front.go
+++ b/entry/internal/front/front.go
@@ -7,8 +7,8 @@
 	"strings"
 	"sync/atomic"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/deny"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/entry/chain"
 )
 
@@ -89,7 +89,7 @@
 	if credential == "" {
 		credential = r.URL.Query().Get("key")
 	}
-	return chain.Call{ID: token.NewID(), Credential: credential, Request: request}
+	return chain.Call{ID: cursor.NewID(), Credential: credential, Request: request}
 }
 
 // issueKey returns a handler that issues an idempotency key to the caller's organisation. It runs a look-up through
--- a/entry/internal/node/node.go
+++ b/entry/internal/node/node.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/member"
 	"bramleywharf.example/core/peer"
 	"bramleywharf.example/core/store"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/core/wire"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/filter"
@@ -63,7 +63,7 @@
 
 // New returns a node whose controllers are running.
 func New(s Settings, b Borders, logger log.Interface, set *metrics.Set) (*Node, error) {
-	sealer, err := token.NewSealer(s.Secret)
+	sealer, err := cursor.NewSealer(s.Secret)
 	if err != nil {
 		return nil, fmt.Errorf("set up event ids: %w", err)
 	}
--- a/entry/internal/once/claim.go
+++ b/entry/internal/once/claim.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"time"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/store"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/entry/internal/engine"
 	"github.com/pkg/errors"
 )
@@ -104,7 +104,7 @@
 	if err != nil {
 		return object, fmt.Errorf("encode claim: %w", err)
 	}
-	updated := object.WithValue(token.NewID(), encoded)
+	updated := object.WithValue(cursor.NewID(), encoded)
 	revision, err := store.Verifying{Store: s.store}.Put(ctx, updated)
 	if err != nil {
 		return updated, fmt.Errorf("write claim: %w", err)
--- a/entry/internal/relay/recover.go
+++ b/entry/internal/relay/recover.go
@@ -26,7 +26,7 @@
 	g.lineage = flow.NewLineage(g.cursor.Offset, g.cursor.Hash, g.cursor.Attempt-1)
 	var number int
 	g.lineage, number = g.lineage.WithAttempt()
-	a := g.newAttempt(number, target, g.cursor.Owner)
+	a := g.newAttempt(number, target, g.cursor.RunID)
 	g.attach(a, g.attachOffset(a))
 }
 
--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/flow"
 	"bramleywharf.example/core/route"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/internal/engine"
 	"github.com/VictoriaMetrics/metrics"
@@ -66,11 +66,11 @@
 type Job struct {
 	Spec   flow.Spec
 	Policy flow.Policy
-	Cursor token.Cursor // Cursor is the position to resume from; its Attempt is 0 for a new generation.
-	Base   int          // Base is the offset of the first of Texts.
-	Texts  []string     // Texts holds the known tokens of the answer.
-	Held   func()       // Held, unless nil, is called each time a target is held for an attempt.
-	Prompt bool         // Prompt tells whether Spec holds the prompt, which a continuation on another engine needs.
+	Cursor cursor.Cursor // Cursor is the position to resume from; its Attempt is 0 for a new generation.
+	Base   int           // Base is the offset of the first of Texts.
+	Texts  []string      // Texts holds the known tokens of the answer.
+	Held   func()        // Held, unless nil, is called each time a target is held for an attempt.
+	Prompt bool          // Prompt tells whether Spec holds the prompt, which a continuation on another engine needs.
 }
 
 // Relay runs generations; it is safe for concurrent use.
@@ -78,7 +78,7 @@
 	engines engine.Client
 	picker  Picker
 	journal Journal
-	sealer  *token.Sealer
+	sealer  *cursor.Sealer
 	stats   stats
 }
 
@@ -97,7 +97,7 @@
 }
 
 // New returns a relay that runs generations on the engines and registers its metrics in the set.
-func New(engines engine.Client, picker Picker, journal Journal, sealer *token.Sealer, set *metrics.Set) *Relay {
+func New(engines engine.Client, picker Picker, journal Journal, sealer *cursor.Sealer, set *metrics.Set) *Relay {
 	return &Relay{
 		engines: engines,
 		picker:  picker,
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -4,10 +4,10 @@
 	"context"
 	"testing"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/deny"
 	"bramleywharf.example/core/flow"
 	"bramleywharf.example/core/route"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/internal/engine"
 	"github.com/VictoriaMetrics/metrics"
@@ -73,7 +73,7 @@
 
 // newRelay returns a relay to a scripted engine.
 func newRelay(tb testing.TB, start func(engine.Request, func(engine.Event)) error) *Relay {
-	sealer, err := token.NewSealer([]byte("fleet"))
+	sealer, err := cursor.NewSealer([]byte("fleet"))
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/entry/internal/relay/run.go
+++ b/entry/internal/relay/run.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/deny"
 	"bramleywharf.example/core/flow"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/internal/engine"
 )
@@ -23,7 +23,7 @@
 	sink           chain.Sink
 	runID          string // runID is part of the ids of the attempts that this run starts.
 	journalEntry   Entry
-	cursor         token.Cursor
+	cursor         cursor.Cursor
 	lineage        flow.Lineage
 	gaps           flow.GapEstimate
 	textsOffset    int      // textsOffset is the offset of the first of texts.
@@ -59,7 +59,7 @@
 		relay:          r,
 		job:            j,
 		sink:           sink,
-		runID:          token.NewID()[:runIDLength],
+		runID:          cursor.NewID()[:runIDLength],
 		journalEntry:   r.journal.Open(j.Spec, j.Base, j.Texts),
 		cursor:         j.Cursor,
 		lineage:        flow.NewLineage(j.Cursor.Offset, j.Cursor.Hash, j.Cursor.Attempt),
@@ -107,7 +107,7 @@
 	g.texts = append(g.texts, t.Text)
 	g.textsHash = flow.NextHash(g.textsHash, t.Text)
 	g.cursor = g.cursor.WithProgress(a.target.Name, a.runID, a.number, g.lineage.Offset(), g.lineage.Hash())
-	g.cursor.Keeper = g.journalEntry.Keeper()
+	g.cursor.Backup = g.journalEntry.Keeper()
 	id, err := g.relay.sealer.Seal(g.job.Spec.Organisation, g.cursor)
 	if err == nil {
 		err = g.sink.Token(id, t)
--- a/entry/internal/serve/serve.go
+++ b/entry/internal/serve/serve.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"bramleywharf.example/core/conf"
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/deny"
 	"bramleywharf.example/core/flow"
 	"bramleywharf.example/core/member"
 	"bramleywharf.example/core/peer"
 	"bramleywharf.example/core/route"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/core/wire"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/internal/engine"
@@ -49,11 +49,11 @@
 	once   *once.Once
 	keeper Keeper
 	peers  peer.Client
-	sealer *token.Sealer
+	sealer *cursor.Sealer
 }
 
 // New returns a server that runs generations and service calls with the given parts.
-func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Client, sealer *token.Sealer) *Server {
+func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Client, sealer *cursor.Sealer) *Server {
 	return &Server{fleet: fleet, relay: generations, once: calls, keeper: keeper, peers: peers, sealer: sealer}
 }
 
@@ -75,13 +75,13 @@
 
 // adoptLog takes a generation over from its origin and its keeper and returns its log. The origin has the more complete
 // one, but is waited for only originGrace longer than the keeper.
-func (s *Server) adoptLog(ctx context.Context, cursor token.Cursor) wire.Log {
+func (s *Server) adoptLog(ctx context.Context, position cursor.Cursor) wire.Log {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	request := wire.Adopt{Request: cursor.Request, By: s.fleet.Self().Name}
+	request := wire.Adopt{Request: position.RequestID, By: s.fleet.Self().Name}
 	fromOrigin, fromKeeper := make(chan wire.Adopted, 1), make(chan wire.Adopted, 1)
-	go func() { fromOrigin <- s.askToAdopt(ctx, cursor.Origin, request) }()
-	go func() { fromKeeper <- s.askToAdopt(ctx, cursor.Keeper, request) }()
+	go func() { fromOrigin <- s.askToAdopt(ctx, position.Origin, request) }()
+	go func() { fromKeeper <- s.askToAdopt(ctx, position.Backup, request) }()
 	var keeperAnswer wire.Adopted
 	select {
 	case a := <-fromOrigin:
@@ -128,16 +128,16 @@
 		MaxTokens:    r.MaxTokens,
 		Priority:     c.Limit.Priority,
 	}
-	cursor := token.Cursor{
-		Request: c.ID,
-		Model:   r.Model,
-		Adapter: r.Adapter,
-		Version: r.Version,
-		Seed:    r.Seed,
-		Max:     r.MaxTokens,
-		Origin:  s.fleet.Self().Name,
+	position := cursor.Cursor{
+		RequestID: c.ID,
+		Model:     r.Model,
+		Adapter:   r.Adapter,
+		Version:   r.Version,
+		Seed:      r.Seed,
+		MaxTokens: r.MaxTokens,
+		Origin:    s.fleet.Self().Name,
 	}
-	return s.relay.Run(ctx, relay.Job{Spec: spec, Policy: recoveryPolicy(c.Limit), Cursor: cursor, Held: c.Entered, Prompt: true}, c.Sink)
+	return s.relay.Run(ctx, relay.Job{Spec: spec, Policy: recoveryPolicy(c.Limit), Cursor: position, Held: c.Entered, Prompt: true}, c.Sink)
 }
 
 // invoke runs a call of a plain service; the caller may declare it non-idempotent even if the service does not.
@@ -183,32 +183,32 @@
 
 // resume continues a generation after the event that the caller received last.
 func (s *Server) resume(ctx context.Context, c chain.Call, r chain.Resume) chain.Answer {
-	cursor, err := s.sealer.Open(c.Organisation, r.LastEventID)
+	position, err := s.sealer.Open(c.Organisation, r.LastEventID)
 	if err != nil {
 		return chain.Refuse(deny.New(deny.KindMalformed, "%v", err))
 	}
-	log := s.adoptLog(ctx, cursor)
+	log := s.adoptLog(ctx, position)
 	if log.Prompt == "" {
 		log.Prompt = r.Prompt
 	}
 	spec := flow.Spec{
-		ID:           cursor.Request,
+		ID:           position.RequestID,
 		Organisation: c.Organisation,
-		Model:        cursor.Model,
-		Adapter:      cursor.Adapter,
-		Version:      cursor.Version,
+		Model:        position.Model,
+		Adapter:      position.Adapter,
+		Version:      position.Version,
 		Prompt:       log.Prompt,
-		Seed:         cursor.Seed,
-		MaxTokens:    cursor.Max,
+		Seed:         position.Seed,
+		MaxTokens:    position.MaxTokens,
 		Priority:     c.Limit.Priority,
 	}
-	cursor.Origin = s.fleet.Self().Name
-	cursor.Keeper = ""
-	knownTokens := max(0, min(len(log.Tokens), cursor.Offset-log.Offset))
+	position.Origin = s.fleet.Self().Name
+	position.Backup = ""
+	knownTokens := max(0, min(len(log.Tokens), position.Offset-log.Offset))
 	job := relay.Job{
 		Spec:   spec,
 		Policy: recoveryPolicy(c.Limit),
-		Cursor: cursor,
+		Cursor: position,
 		Base:   log.Offset,
 		Texts:  log.Tokens[:knownTokens:knownTokens],
 		Prompt: spec.Prompt != "",
--- a/entry/internal/steer/steer.go
+++ b/entry/internal/steer/steer.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"bramleywharf.example/core/conf"
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/fence"
 	"bramleywharf.example/core/store"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/core/wait"
 	"bramleywharf.example/entry/internal/engine"
 	"github.com/VictoriaMetrics/metrics"
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, fence.RenewInterval)
 	defer cancel()
 	o := store.Object{Kind: kindLease, Name: leaseName, Revision: s.leaseSeen.Revision}
-	revision, err := store.Verifying{Store: s.store}.Put(ctx, o.WithValue(token.NewID(), raw))
+	revision, err := store.Verifying{Store: s.store}.Put(ctx, o.WithValue(cursor.NewID(), raw))
 	if err != nil {
 		s.readLease(ctx)
 		return
--- a/lab/internal/demo/demo.go
+++ b/lab/internal/demo/demo.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"bramleywharf.example/core/token"
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/lab/internal/caller"
 	"github.com/pkg/errors"
 )
@@ -241,7 +241,7 @@
 
 // placeOrders places an order at one instance, repeats it at the others and places another one with the same key.
 func (d *demo) placeOrders(ctx context.Context) error {
-	key := token.NewID()
+	key := cursor.NewID()
 	path := "/v1/services/" + d.settings.Service + "/orders"
 	body := `{"player":"Aoife","number":7}`
 	var first caller.Result
--- a/lab/internal/slopes/row.go
+++ b/lab/internal/slopes/row.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"bramleywharf.example/core/conf"
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/store"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/core/wait"
 	"bramleywharf.example/lab/internal/caller"
 )
@@ -156,7 +156,7 @@
 	var longest time.Duration
 	for range 5 {
 		raw := []byte(`{"key-hash":"` + fmt.Sprintf("%064x", time.Now().UnixNano()) + `"}`)
-		object := store.Object{Kind: conf.KindOrganisation, Name: "changed", Value: raw, WriteID: token.NewID()}
+		object := store.Object{Kind: conf.KindOrganisation, Name: "changed", Value: raw, WriteID: cursor.NewID()}
 		if stored, err := s.Platform.Get(ctx, object.Kind, object.Name); err == nil {
 			object.Revision = stored.Revision
 		}
