--- a/core/peer/quic.go
+++ b/core/peer/quic.go
@@ -24,7 +24,7 @@
 	maxStreamsPerConn = 256             // maxStreamsPerConn limits the concurrent requests of one peer.
 )
 
-// ErrRefused is returned when the other end rejected the request with wire.Failed.
+// ErrRefused is returned when the other end rejected the request with wire.Failure.
 var ErrRefused = errors.New("peer refused the message")
 
 // QUIC is a Client over QUIC that also serves the requests of other instances.
@@ -120,7 +120,7 @@
 		q.discard(address, conn)
 		return nil, fmt.Errorf("ask peer %s: %w", address, err)
 	}
-	if f, failed := response.(wire.Failed); failed {
+	if f, failed := response.(wire.Failure); failed {
 		return nil, fmt.Errorf("%w: %s", ErrRefused, f.Reason)
 	}
 	return response, nil
@@ -252,7 +252,7 @@
 
 // readMessage reads a stream to its end and decodes its one message.
 func (q *QUIC) readMessage(r io.Reader) (wire.Message, error) {
-	raw, err := io.ReadAll(io.LimitReader(r, wire.MaxSize))
+	raw, err := io.ReadAll(io.LimitReader(r, wire.MaxMessageBytes))
 	if err != nil {
 		return nil, fmt.Errorf("receive: %w", err)
 	}
--- a/core/peer/quic_test.go
+++ b/core/peer/quic_test.go
@@ -16,7 +16,7 @@
 	q, err := NewQUIC(address, []byte(secret), func(_ context.Context, m wire.Message) wire.Message {
 		p, ok := m.(wire.PullConfig)
 		if !ok {
-			return wire.Failed{Reason: "not a pull"}
+			return wire.Failure{Reason: "not a pull"}
 		}
 		return wire.ConfigPage{Revision: p.After + 1}
 	}, metrics.NewSet())
@@ -32,7 +32,7 @@
 		wantErr bool
 	}{
 		"answered":       {secret: "fleet", request: wire.PullConfig{After: 4}, want: wire.ConfigPage{Revision: 5}},
-		"refused":        {secret: "fleet", request: wire.Keep{From: "a"}, wantErr: true},
+		"refused":        {secret: "fleet", request: wire.SaveLogs{From: "a"}, wantErr: true},
 		"another-fleet":  {secret: "stranger", request: wire.PullConfig{}, wantErr: true},
 		"large-revision": {secret: "fleet", request: wire.PullConfig{After: 1 << 40}, want: wire.ConfigPage{Revision: 1<<40 + 1}},
 	}
--- a/core/wire/codec.go
+++ b/core/wire/codec.go
@@ -7,28 +7,28 @@
 	"github.com/pkg/errors"
 )
 
-// MaxSize limits one encoded message, in bytes.
-const MaxSize = 16 << 20
+// MaxMessageBytes limits one encoded message, in bytes.
+const MaxMessageBytes = 16 << 20
 
-// ErrEmpty is returned for an encoding that holds no message of a known type.
-var ErrEmpty = errors.New("no message of a known type")
+// ErrUnknownMessage is returned for an encoding that holds no message of a known type.
+var ErrUnknownMessage = errors.New("no message of a known type")
 
 // envelope is the encoded form of a message: exactly one field is set, and its key tells the type.
 type envelope struct {
-	Gossip     *Gossip     `cbor:"1,keyasint,omitempty"`
-	PullConfig *PullConfig `cbor:"2,keyasint,omitempty"`
-	ConfigPage *ConfigPage `cbor:"3,keyasint,omitempty"`
-	Keep       *Keep       `cbor:"4,keyasint,omitempty"`
-	Kept       *Kept       `cbor:"5,keyasint,omitempty"`
-	Adopt      *Adopt      `cbor:"6,keyasint,omitempty"`
-	Adopted    *Adopted    `cbor:"7,keyasint,omitempty"`
-	Borrow     *Borrow     `cbor:"8,keyasint,omitempty"`
-	Lent       *Lent       `cbor:"9,keyasint,omitempty"`
-	Spend      *Spend      `cbor:"10,keyasint,omitempty"`
-	Spent      *Spent      `cbor:"11,keyasint,omitempty"`
-	Failed     *Failed     `cbor:"12,keyasint,omitempty"`
-	Pull       *Pull       `cbor:"13,keyasint,omitempty"`
-	Pages      *Pages      `cbor:"14,keyasint,omitempty"`
+	Gossip        *Gossip        `cbor:"1,keyasint,omitempty"`
+	PullConfig    *PullConfig    `cbor:"2,keyasint,omitempty"`
+	ConfigPage    *ConfigPage    `cbor:"3,keyasint,omitempty"`
+	SaveLogs      *SaveLogs      `cbor:"4,keyasint,omitempty"`
+	SaveLogsReply *SaveLogsReply `cbor:"5,keyasint,omitempty"`
+	TakeOver      *TakeOver      `cbor:"6,keyasint,omitempty"`
+	TakeOverReply *TakeOverReply `cbor:"7,keyasint,omitempty"`
+	BorrowSlots   *BorrowSlots   `cbor:"8,keyasint,omitempty"`
+	SlotGrants    *SlotGrants    `cbor:"9,keyasint,omitempty"`
+	RunKeyedCall  *RunKeyedCall  `cbor:"10,keyasint,omitempty"`
+	CallOutcome   *CallOutcome   `cbor:"11,keyasint,omitempty"`
+	Failure       *Failure       `cbor:"12,keyasint,omitempty"`
+	PullUpdates   *PullUpdates   `cbor:"13,keyasint,omitempty"`
+	Updates       *Updates       `cbor:"14,keyasint,omitempty"`
 }
 
 // Decode returns the message that raw encodes.
@@ -44,30 +44,30 @@
 		return *e.PullConfig, nil
 	case e.ConfigPage != nil:
 		return *e.ConfigPage, nil
-	case e.Keep != nil:
-		return *e.Keep, nil
-	case e.Kept != nil:
-		return *e.Kept, nil
-	case e.Adopt != nil:
-		return *e.Adopt, nil
-	case e.Adopted != nil:
-		return *e.Adopted, nil
-	case e.Borrow != nil:
-		return *e.Borrow, nil
-	case e.Lent != nil:
-		return *e.Lent, nil
-	case e.Spend != nil:
-		return *e.Spend, nil
-	case e.Spent != nil:
-		return *e.Spent, nil
-	case e.Failed != nil:
-		return *e.Failed, nil
-	case e.Pull != nil:
-		return *e.Pull, nil
-	case e.Pages != nil:
-		return *e.Pages, nil
+	case e.SaveLogs != nil:
+		return *e.SaveLogs, nil
+	case e.SaveLogsReply != nil:
+		return *e.SaveLogsReply, nil
+	case e.TakeOver != nil:
+		return *e.TakeOver, nil
+	case e.TakeOverReply != nil:
+		return *e.TakeOverReply, nil
+	case e.BorrowSlots != nil:
+		return *e.BorrowSlots, nil
+	case e.SlotGrants != nil:
+		return *e.SlotGrants, nil
+	case e.RunKeyedCall != nil:
+		return *e.RunKeyedCall, nil
+	case e.CallOutcome != nil:
+		return *e.CallOutcome, nil
+	case e.Failure != nil:
+		return *e.Failure, nil
+	case e.PullUpdates != nil:
+		return *e.PullUpdates, nil
+	case e.Updates != nil:
+		return *e.Updates, nil
 	default:
-		return nil, ErrEmpty
+		return nil, ErrUnknownMessage
 	}
 }
 
@@ -89,28 +89,28 @@
 		return envelope{PullConfig: &t}
 	case ConfigPage:
 		return envelope{ConfigPage: &t}
-	case Keep:
-		return envelope{Keep: &t}
-	case Kept:
-		return envelope{Kept: &t}
-	case Adopt:
-		return envelope{Adopt: &t}
-	case Adopted:
-		return envelope{Adopted: &t}
-	case Borrow:
-		return envelope{Borrow: &t}
-	case Lent:
-		return envelope{Lent: &t}
-	case Spend:
-		return envelope{Spend: &t}
-	case Spent:
-		return envelope{Spent: &t}
-	case Failed:
-		return envelope{Failed: &t}
-	case Pull:
-		return envelope{Pull: &t}
-	case Pages:
-		return envelope{Pages: &t}
+	case SaveLogs:
+		return envelope{SaveLogs: &t}
+	case SaveLogsReply:
+		return envelope{SaveLogsReply: &t}
+	case TakeOver:
+		return envelope{TakeOver: &t}
+	case TakeOverReply:
+		return envelope{TakeOverReply: &t}
+	case BorrowSlots:
+		return envelope{BorrowSlots: &t}
+	case SlotGrants:
+		return envelope{SlotGrants: &t}
+	case RunKeyedCall:
+		return envelope{RunKeyedCall: &t}
+	case CallOutcome:
+		return envelope{CallOutcome: &t}
+	case Failure:
+		return envelope{Failure: &t}
+	case PullUpdates:
+		return envelope{PullUpdates: &t}
+	case Updates:
+		return envelope{Updates: &t}
 	default:
 		return envelope{}
 	}
--- a/core/wire/codec_test.go
+++ b/core/wire/codec_test.go
@@ -8,21 +8,21 @@
 	"github.com/frankban/quicktest"
 )
 
-// sampleMessages returns a sample of each message type but Pull and Pages.
+// sampleMessages returns a sample of each message type but PullUpdates and Updates.
 func sampleMessages() map[string]Message {
 	return map[string]Message{
-		"gossip":      Gossip{From: member.Member{Name: "a", Incarnation: 3}, Revision: 7, Age: time.Second},
+		"gossip":      Gossip{From: member.Member{Name: "a", Incarnation: 3}, Revision: 7, ConfigAge: time.Second},
 		"pull-config": PullConfig{After: 3},
-		"config-page": ConfigPage{Revision: 4, Objects: []ConfigObject{{Kind: "model", Name: "m", Revision: 4, Value: []byte("{}")}}},
-		"keep":        Keep{From: "a", Logs: []Log{{Request: "r", Prompt: "p", Tokens: []string{"x"}}}},
-		"kept":        Kept{Unknown: []string{"r"}},
-		"adopt":       Adopt{Request: "r", By: "b"},
-		"adopted":     Adopted{Found: true, Log: Log{Request: "r"}},
-		"borrow":      Borrow{From: "a", Wants: []Want{{Organisation: "o", Running: 1, Held: 2, Wanted: 3}}},
-		"lent":        Lent{Slots: []int{2}, Life: time.Second},
-		"spend":       Spend{Key: "k", Body: []byte("b"), Within: time.Second},
-		"spent":       Spent{Status: 200, Body: []byte("b")},
-		"failed":      Failed{Reason: "no"},
+		"config-page": ConfigPage{Revision: 4, Objects: []Object{{Kind: "model", Name: "m", Revision: 4, Value: []byte("{}")}}},
+		"keep":        SaveLogs{From: "a", Logs: []GenerationLog{{Request: "r", Prompt: "p", Tokens: []string{"x"}}}},
+		"kept":        SaveLogsReply{MissingRequests: []string{"r"}},
+		"adopt":       TakeOver{Request: "r", By: "b"},
+		"adopted":     TakeOverReply{Found: true, Log: GenerationLog{Request: "r"}},
+		"borrow":      BorrowSlots{From: "a", Demands: []SlotDemand{{Organisation: "o", Running: 1, Held: 2, Wanted: 3}}},
+		"lent":        SlotGrants{Slots: []int{2}, TTL: time.Second},
+		"spend":       RunKeyedCall{Key: "k", Body: []byte("b"), Timeout: time.Second},
+		"spent":       CallOutcome{Status: 200, Body: []byte("b")},
+		"failed":      Failure{Reason: "no"},
 	}
 }
 
--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -45,13 +45,13 @@
 // Loads holds the newest load report of each instance: what that instance has running at targets.
 type Loads interface {
 	// Known returns the sequence numbers of the reports of other instances.
-	Known() []wire.Said
+	Known() []wire.ReportVersion
 	// Merge takes reports from a peer.
-	Merge(loads []wire.Load)
+	Merge(reports []wire.LoadReport)
 	// Newer returns the reports that a peer lacks.
-	Newer(known []wire.Said) []wire.Load
+	Newer(known []wire.ReportVersion) []wire.LoadReport
 	// Own returns a new report of this instance.
-	Own() wire.Load
+	Own() wire.LoadReport
 	// Expect sets the time between two exchanges of reports.
 	Expect(period time.Duration)
 }
@@ -94,23 +94,23 @@
 }
 
 // Handle answers a peer's pull.
-func (s *Swap) Handle(p wire.Pull) wire.Message {
-	var pages wire.Pages
-	if p.Loads {
-		s.loads.Merge([]wire.Load{p.Own})
-		pages.Loads = s.loads.Newer(p.Known)
+func (s *Swap) Handle(p wire.PullUpdates) wire.Message {
+	var updates wire.Updates
+	if p.WantReports {
+		s.loads.Merge([]wire.LoadReport{p.OwnReport})
+		updates.Reports = s.loads.Newer(p.KnownReports)
 	}
-	for _, mark := range p.Marks {
+	for _, known := range p.Revisions {
 		for _, f := range s.feeds {
-			if f.Kind() == mark.Kind {
+			if f.Kind() == known.Kind {
 				age := f.Age()
-				page := pageToWire(mark.Kind, f.View().ChangesSince(mark.At))
-				page.Age = age
-				pages.Pages = append(pages.Pages, page)
+				kindUpdates := pageToWire(known.Kind, f.View().ChangesSince(known.Revision))
+				kindUpdates.Age = age
+				updates.Kinds = append(updates.Kinds, kindUpdates)
 			}
 		}
 	}
-	return pages
+	return updates
 }
 
 // Heard requests a pull from a peer whose heartbeat reports a newer revision.
@@ -157,22 +157,22 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	start := time.Now()
-	var request wire.Pull
+	var request wire.PullUpdates
 	if every := pullsPerLoadExchange(s.fleetSize); s.pullCount%every == 0 {
 		s.loads.Expect(time.Duration(every) * pullInterval)
-		request.Loads, request.Own, request.Known = true, s.loads.Own(), s.loads.Known()
+		request.WantReports, request.OwnReport, request.KnownReports = true, s.loads.Own(), s.loads.Known()
 	}
 	for _, f := range s.feeds {
-		request.Marks = append(request.Marks, wire.Mark{Kind: f.Kind(), At: f.View().Revision()})
+		request.Revisions = append(request.Revisions, wire.KnownRevision{Kind: f.Kind(), Revision: f.View().Revision()})
 	}
 	response, err := s.peers.Call(ctx, address, request)
 	s.logPullResult(address, err)
-	pages, ok := response.(wire.Pages)
+	updates, ok := response.(wire.Updates)
 	if err != nil || !ok {
 		return false
 	}
-	s.loads.Merge(pages.Loads)
-	for _, p := range pages.Pages {
+	s.loads.Merge(updates.Reports)
+	for _, p := range updates.Kinds {
 		for _, f := range s.feeds {
 			if f.Kind() == p.Kind {
 				f.Take(pageFromWire(p), address)
@@ -243,8 +243,8 @@
 }
 
 // pageFromWire decodes a page from a message.
-func pageFromWire(p wire.KindPage) mirror.Page {
-	page := mirror.Page{Revision: p.At}
+func pageFromWire(p wire.KindUpdates) mirror.Page {
+	page := mirror.Page{Revision: p.Revision}
 	for _, o := range p.Objects {
 		page.Objects = append(page.Objects, mirror.Object{
 			Name:     o.Name,
@@ -257,10 +257,10 @@
 }
 
 // pageToWire encodes a page of a kind into a message.
-func pageToWire(kind string, p mirror.Page) wire.KindPage {
-	page := wire.KindPage{Kind: kind, At: p.Revision}
+func pageToWire(kind string, p mirror.Page) wire.KindUpdates {
+	updates := wire.KindUpdates{Kind: kind, Revision: p.Revision}
 	for _, o := range p.Objects {
-		page.Objects = append(page.Objects, wire.ConfigObject{
+		updates.Objects = append(updates.Objects, wire.Object{
 			Kind:     kind,
 			Name:     o.Name,
 			Revision: o.Revision,
@@ -268,5 +268,5 @@
 			Value:    o.Raw,
 		})
 	}
-	return page
+	return updates
 }
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -100,14 +100,14 @@
 
 // Handle answers a peer's heartbeat, or probes another member on the peer's behalf if the heartbeat asks for it.
 func (f *Fleet) Handle(ctx context.Context, gossip wire.Gossip) wire.Message {
-	if gossip.Forward != "" {
-		if _, err := f.exchange(ctx, gossip.Forward, wire.Gossip{}); err != nil {
-			return wire.Failed{Reason: "no answer"}
+	if gossip.ProbeAddress != "" {
+		if _, err := f.exchange(ctx, gossip.ProbeAddress, wire.Gossip{}); err != nil {
+			return wire.Failure{Reason: "no answer"}
 		}
 		return f.newHeartbeat(false, gossip.From.PeerAddress)
 	}
 	f.mergeHeartbeat(gossip)
-	return f.newHeartbeat(gossip.Full, gossip.From.PeerAddress)
+	return f.newHeartbeat(gossip.WantAllMembers, gossip.From.PeerAddress)
 }
 
 // Leave announces to the members that this instance is draining and takes no new work.
@@ -140,13 +140,14 @@
 	return f.view.Load()
 }
 
-// exchange sends a heartbeat to an address and merges the answer; of the given gossip, Forward and Full are sent.
+// exchange sends a heartbeat to an address and merges the answer; of the given gossip, ProbeAddress and WantAllMembers
+// are sent.
 func (f *Fleet) exchange(ctx context.Context, address string, gossip wire.Gossip) (wire.Gossip, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	forward, full := gossip.Forward, gossip.Full
+	probeAddress, wantAllMembers := gossip.ProbeAddress, gossip.WantAllMembers
 	gossip = f.newHeartbeat(false, address)
-	gossip.Forward, gossip.Full = forward, full
+	gossip.ProbeAddress, gossip.WantAllMembers = probeAddress, wantAllMembers
 	answer, err := f.peers.Call(ctx, address, gossip)
 	if err != nil {
 		return wire.Gossip{}, err
@@ -183,9 +184,9 @@
 // the update may have spread without reaching it.
 func (f *Fleet) newHeartbeat(full bool, recipient string) wire.Gossip {
 	gossip := wire.Gossip{
-		From:     f.Self(),
-		Revision: f.freshness.Revision(),
-		Age:      f.freshness.Age(),
+		From:      f.Self(),
+		Revision:  f.freshness.Revision(),
+		ConfigAge: f.freshness.Age(),
 	}
 	view := f.View()
 	if full {
@@ -210,7 +211,7 @@
 	for _, m := range gossip.Members {
 		f.apply(m)
 	}
-	f.freshness.Heard(gossip.From.PeerAddress, gossip.Revision, gossip.Age)
+	f.freshness.Heard(gossip.From.PeerAddress, gossip.Revision, gossip.ConfigAge)
 }
 
 // recordState logs a change of a member's state and records when the member became suspect or dead.
--- a/entry/fleet/loop.go
+++ b/entry/fleet/loop.go
@@ -118,7 +118,7 @@
 		if address == f.settings.Self.PeerAddress {
 			continue
 		}
-		if _, err := f.exchange(ctx, address, wire.Gossip{Full: true}); err == nil {
+		if _, err := f.exchange(ctx, address, wire.Gossip{WantAllMembers: true}); err == nil {
 			break
 		}
 	}
@@ -173,7 +173,7 @@
 		return
 	}
 	for _, helper := range f.randomLive(indirectProbes, m.Name) {
-		if _, err := f.exchange(ctx, helper.PeerAddress, wire.Gossip{Forward: m.PeerAddress}); err == nil {
+		if _, err := f.exchange(ctx, helper.PeerAddress, wire.Gossip{ProbeAddress: m.PeerAddress}); err == nil {
 			return
 		}
 	}
@@ -221,7 +221,7 @@
 	deadMembers := f.deadMembers()
 	rand.Shuffle(len(deadMembers), func(i, j int) { deadMembers[i], deadMembers[j] = deadMembers[j], deadMembers[i] })
 	for _, m := range deadMembers {
-		if _, err := f.exchange(ctx, m.PeerAddress, wire.Gossip{Full: true}); err != nil {
+		if _, err := f.exchange(ctx, m.PeerAddress, wire.Gossip{WantAllMembers: true}); err != nil {
 			return // It is probably still dead; the next run tries in another order.
 		}
 	}
--- a/entry/inst/inst.go
+++ b/entry/inst/inst.go
@@ -245,15 +245,15 @@
 		select {
 		case <-joined:
 		case <-ctx.Done():
-			return wire.Failed{Reason: "not ready"}
+			return wire.Failure{Reason: "not ready"}
 		}
 		switch m := m.(type) {
 		case wire.Gossip:
 			return i.fleet.Load().Handle(ctx, m)
-		case wire.Pull:
+		case wire.PullUpdates:
 			return i.exchange.Handle(m)
 		default:
-			return wire.Failed{Reason: "not a question"}
+			return wire.Failure{Reason: "not a question"}
 		}
 	}
 }
--- a/entry/internal/boot/instance.go
+++ b/entry/internal/boot/instance.go
@@ -117,7 +117,7 @@
 		select {
 		case <-ready:
 		case <-ctx.Done():
-			return wire.Failed{Reason: "not ready"}
+			return wire.Failure{Reason: "not ready"}
 		}
 		return i.node.HandlePeer(ctx, m)
 	}
--- a/entry/internal/keep/keep.go
+++ b/entry/internal/keep/keep.go
@@ -67,7 +67,7 @@
 
 // replica is the log of a peer's generation, for which this instance is the keeper.
 type replica struct {
-	log       wire.Log
+	log       wire.GenerationLog
 	origin    string
 	updatedAt time.Time
 }
@@ -92,25 +92,25 @@
 }
 
 // Adopt hands a generation that runs here or of which a replica is held here over to a peer that continues it.
-func (k *Keep) Adopt(a wire.Adopt) wire.Message {
+func (k *Keep) Adopt(a wire.TakeOver) wire.Message {
 	if g, ok := k.generations.Load(a.Request); ok {
-		return wire.Adopted{Found: true, Log: g.(*generation).adopt()}
+		return wire.TakeOverReply{Found: true, Log: g.(*generation).adopt()}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	held, ok := k.replicas[a.Request]
 	if !ok {
-		return wire.Adopted{}
+		return wire.TakeOverReply{}
 	}
 	delete(k.replicas, a.Request)
-	return wire.Adopted{Found: true, Log: held.log}
+	return wire.TakeOverReply{Found: true, Log: held.log}
 }
 
 // Handle applies a peer's updates to the replicas of its generations.
-func (k *Keep) Handle(m wire.Keep) wire.Message {
+func (k *Keep) Handle(m wire.SaveLogs) wire.Message {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var answer wire.Kept
+	var answer wire.SaveLogsReply
 	for _, update := range m.Logs {
 		if update.Done {
 			if k.replicas[update.Request].origin == m.From {
@@ -121,7 +121,7 @@
 		held := k.replicas[update.Request]
 		merged, ok := mergeLog(held.log, update)
 		if !ok {
-			answer.Unknown = append(answer.Unknown, update.Request)
+			answer.MissingRequests = append(answer.MissingRequests, update.Request)
 			continue
 		}
 		k.replicas[update.Request] = replica{log: merged, origin: m.From, updatedAt: time.Now()}
@@ -181,7 +181,7 @@
 
 // mergeLog applies an update to a replica; it fails when tokens are missing between the two. An update without an
 // attempt id only adds tokens.
-func mergeLog(old, update wire.Log) (wire.Log, bool) {
+func mergeLog(old, update wire.GenerationLog) (wire.GenerationLog, bool) {
 	merged := update
 	if update.AttemptID == "" {
 		if old.AttemptID == "" {
--- a/entry/internal/keep/loop.go
+++ b/entry/internal/keep/loop.go
@@ -11,7 +11,7 @@
 
 // batch holds the updates that one keeper gets in one message; the elements with the same index belong together.
 type batch struct {
-	logs        []wire.Log
+	logs        []wire.GenerationLog
 	generations []*generation
 	replicated  []int
 }
@@ -45,7 +45,7 @@
 	k.mu.Lock()
 	for _, f := range k.finished {
 		b := batchOf(f.keeper)
-		b.logs = append(b.logs, wire.Log{Request: f.request, Done: true})
+		b.logs = append(b.logs, wire.GenerationLog{Request: f.request, Done: true})
 		b.generations = append(b.generations, nil)
 		b.replicated = append(b.replicated, 0)
 	}
@@ -87,10 +87,10 @@
 	m, ok := k.fleet.View().Get(keeper)
 	unknown := make(map[string]bool)
 	if ok {
-		reply, err := k.peers.Call(ctx, m.PeerAddress, wire.Keep{From: k.fleet.Self().Name, Logs: b.logs})
-		kept, isKept := reply.(wire.Kept)
-		ok = err == nil && isKept
-		for _, request := range kept.Unknown {
+		reply, err := k.peers.Call(ctx, m.PeerAddress, wire.SaveLogs{From: k.fleet.Self().Name, Logs: b.logs})
+		saved, isSaved := reply.(wire.SaveLogsReply)
+		ok = err == nil && isSaved
+		for _, request := range saved.MissingRequests {
 			unknown[request] = true
 		}
 	}
--- a/entry/internal/keep/record.go
+++ b/entry/internal/keep/record.go
@@ -97,7 +97,7 @@
 }
 
 // fullLog returns the header, the prompt and all known tokens.
-func (g *generation) fullLog() wire.Log {
+func (g *generation) fullLog() wire.GenerationLog {
 	full := g.header()
 	full.Prompt = g.spec.Prompt
 	full.Offset = g.firstOffset
@@ -106,11 +106,11 @@
 }
 
 // nextUpdate returns what the keeper lacks and how many tokens it will then have, or false if it lacks nothing.
-func (g *generation) nextUpdate(costly int) (wire.Log, int, bool) {
+func (g *generation) nextUpdate(costly int) (wire.GenerationLog, int, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.isDirty || g.keeper == "" {
-		return wire.Log{}, 0, false
+		return wire.GenerationLog{}, 0, false
 	}
 	if g.firstOffset+len(g.tokens) < costly || g.spec.Prompt == "" {
 		return g.header(), 0, !g.keeperKnows
@@ -118,7 +118,7 @@
 	if !g.keeperHasPrompt {
 		return g.fullLog(), len(g.tokens), true
 	}
-	update := wire.Log{Request: g.request}
+	update := wire.GenerationLog{Request: g.request}
 	if g.keeperAttemptID != g.lastProgress.AttemptID {
 		update = g.header()
 	}
@@ -129,7 +129,7 @@
 
 // confirmUpdate notes that the keeper has applied an update and how many tokens it has now. After a failure, everything
 // is sent again.
-func (g *generation) confirmUpdate(update wire.Log, replicated int, ok bool) {
+func (g *generation) confirmUpdate(update wire.GenerationLog, replicated int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !ok {
@@ -147,8 +147,8 @@
 }
 
 // header returns a log that identifies the generation and its attempt, without prompt and tokens.
-func (g *generation) header() wire.Log {
-	return wire.Log{
+func (g *generation) header() wire.GenerationLog {
+	return wire.GenerationLog{
 		Request:      g.request,
 		Organisation: g.spec.Organisation,
 		Model:        g.spec.Model,
@@ -164,7 +164,7 @@
 }
 
 // adopt marks the generation as adopted by another owner and returns its full log.
-func (g *generation) adopt() wire.Log {
+func (g *generation) adopt() wire.GenerationLog {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.isAdopted {
--- a/entry/internal/lend/lend.go
+++ b/entry/internal/lend/lend.go
@@ -96,10 +96,10 @@
 }
 
 // Handle answers a member that borrows slots.
-func (l *Lend) Handle(request wire.Borrow) wire.Message {
-	answer := wire.Lent{Life: limit.SliceLifetime}
-	for _, want := range request.Wants {
-		answer.Slots = append(answer.Slots, l.grant(request.From, want))
+func (l *Lend) Handle(request wire.BorrowSlots) wire.Message {
+	answer := wire.SlotGrants{TTL: limit.SliceLifetime}
+	for _, demand := range request.Demands {
+		answer.Slots = append(answer.Slots, l.grant(request.From, demand))
 	}
 	return answer
 }
@@ -122,22 +122,22 @@
 }
 
 // grant decides how many slots of an organisation's ceiling a borrower gets.
-func (l *Lend) grant(from string, want wire.Want) int {
+func (l *Lend) grant(from string, demand wire.SlotDemand) int {
 	now := time.Now()
-	orgLimit, _, ok := l.config.Snapshot().LimitOf(want.Organisation)
+	orgLimit, _, ok := l.config.Snapshot().LimitOf(demand.Organisation)
 	if !ok {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.history.observe(l.fleet.View(), now)
-	book, ok := l.books[want.Organisation]
-	if since := l.history.lenderSince(want.Organisation); !ok || book.Start().Before(since) {
+	book, ok := l.books[demand.Organisation]
+	if since := l.history.lenderSince(demand.Organisation); !ok || book.Start().Before(since) {
 		book = limit.NewBook(since)
 	}
-	request := limit.Request{Borrower: from, Running: want.Running, Held: want.Held, Wanted: want.Wanted}
+	request := limit.Request{Borrower: from, Running: demand.Running, Held: demand.Held, Wanted: demand.Wanted}
 	var granted int
-	l.books[want.Organisation], granted = book.WithRequest(request, orgLimit.Ceiling, now)
+	l.books[demand.Organisation], granted = book.WithRequest(request, orgLimit.Ceiling, now)
 	return granted
 }
 
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -11,10 +11,10 @@
 	"bramleywharf.example/core/wire"
 )
 
-// borrowRequest asks one lender for slots of several organisations; wants and accounts have the same order.
+// borrowRequest asks one lender for slots of several organisations; demands and accounts have the same order.
 type borrowRequest struct {
 	lender   member.Member
-	wants    []wire.Want
+	demands  []wire.SlotDemand
 	accounts []*account
 }
 
@@ -40,7 +40,7 @@
 // borrowFrom sends a request to its lender and applies the grants, or the fallback slots if the lender does not answer.
 func (l *Lend) borrowFrom(ctx context.Context, r *borrowRequest) {
 	sentAt := l.elapsed()
-	m := wire.Borrow{From: l.fleet.Self().Name, Wants: r.wants}
+	m := wire.BorrowSlots{From: l.fleet.Self().Name, Demands: r.demands}
 	var answer wire.Message
 	var err error
 	if r.lender.Name == m.From {
@@ -50,13 +50,13 @@
 		defer cancel()
 		answer, err = l.peers.Call(ctx, r.lender.PeerAddress, m)
 	}
-	lent, ok := answer.(wire.Lent)
-	if err != nil || !ok || len(lent.Slots) != len(r.wants) {
+	grants, ok := answer.(wire.SlotGrants)
+	if err != nil || !ok || len(grants.Slots) != len(r.demands) {
 		l.grantFallbackSlots(r)
 		return
 	}
 	for i, a := range r.accounts {
-		a.setGrant(lent.Slots[i], sentAt+lent.Life)
+		a.setGrant(grants.Slots[i], sentAt+grants.TTL)
 	}
 }
 
@@ -75,7 +75,7 @@
 			r = &borrowRequest{lender: lender}
 			requests[lender.Name] = r
 		}
-		r.wants = append(r.wants, wire.Want{
+		r.demands = append(r.demands, wire.SlotDemand{
 			Organisation: organisation,
 			Running:      int(a.running.Load()),
 			Held:         int(a.usableSlots(l.elapsed())),
@@ -98,7 +98,7 @@
 		if a.usableSlots(l.elapsed()) > 0 {
 			continue
 		}
-		orgLimit, _, ok := l.config.Snapshot().LimitOf(r.wants[i].Organisation)
+		orgLimit, _, ok := l.config.Snapshot().LimitOf(r.demands[i].Organisation)
 		if !ok {
 			continue
 		}
--- a/entry/internal/node/node.go
+++ b/entry/internal/node/node.go
@@ -127,24 +127,24 @@
 		return n.Fleet.Handle(ctx, m)
 	case wire.PullConfig:
 		return n.Watch.Handle(m)
-	case wire.Keep:
+	case wire.SaveLogs:
 		return n.keep.Handle(m)
-	case wire.Adopt:
+	case wire.TakeOver:
 		return n.keep.Adopt(m)
-	case wire.Borrow:
+	case wire.BorrowSlots:
 		return n.lend.Handle(m)
-	case wire.Spend:
+	case wire.RunKeyedCall:
 		return n.runIssuedCall(ctx, m)
 	default:
-		return wire.Failed{Reason: "not a question"}
+		return wire.Failure{Reason: "not a question"}
 	}
 }
 
 // runIssuedCall runs a call that a peer forwarded because its key was issued here.
-func (n *Node) runIssuedCall(ctx context.Context, request wire.Spend) wire.Message {
+func (n *Node) runIssuedCall(ctx context.Context, request wire.RunKeyedCall) wire.Message {
 	service, ok := n.Watch.Snapshot().Service(request.Service)
 	if !ok {
-		return wire.Failed{Reason: "unknown service " + strconv.Quote(request.Service)}
+		return wire.Failure{Reason: "unknown service " + strconv.Quote(request.Service)}
 	}
 	return n.Issuer.Handle(ctx, n.once, serve.Declared(service, request.Method, request.Path), request)
 }
--- a/entry/internal/once/issuer.go
+++ b/entry/internal/once/issuer.go
@@ -87,12 +87,12 @@
 }
 
 // Handle runs a call that a peer forwarded because its key was issued here.
-func (i *Issuer) Handle(ctx context.Context, o *Once, declared conf.ServiceCall, request wire.Spend) wire.Message {
+func (i *Issuer) Handle(ctx context.Context, o *Once, declared conf.ServiceCall, request wire.RunKeyedCall) wire.Message {
 	ticket, err := i.openKey(request.Organisation, request.Key)
 	if err != nil || ticket.Instance != i.instance {
-		return wire.Failed{Reason: "key was not issued here"}
+		return wire.Failure{Reason: "key was not issued here"}
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(request.Within, callTimeout))
+	ctx, cancel := context.WithTimeout(ctx, min(request.Timeout, callTimeout))
 	defer cancel()
 	order := Order{
 		Organisation: request.Organisation,
@@ -124,7 +124,7 @@
 		return refuseIssuerUnreachable()
 	}
 	deadline, _ := ctx.Deadline()
-	answer, err := i.peers.Call(ctx, issuer.PeerAddress, wire.Spend{
+	answer, err := i.peers.Call(ctx, issuer.PeerAddress, wire.RunKeyedCall{
 		Key:          order.Call.Key,
 		Organisation: order.Organisation,
 		Service:      order.Service,
@@ -132,16 +132,16 @@
 		Path:         order.Call.Path,
 		ContentType:  order.Call.ContentType,
 		Body:         order.Call.Body,
-		Within:       time.Until(deadline) - claimPollInterval,
+		Timeout:      time.Until(deadline) - claimPollInterval,
 	})
 	if err != nil {
 		return refuseIssuerUnreachable()
 	}
-	spent, ok := answer.(wire.Spent)
+	outcome, ok := answer.(wire.CallOutcome)
 	if !ok {
 		return refuseIssuerUnreachable()
 	}
-	return answerFromPeer(spent)
+	return answerFromPeer(outcome)
 }
 
 // openKey decrypts the ticket of a key that was issued to an organisation.
@@ -250,15 +250,15 @@
 }
 
 // answerFromPeer decodes the answer of the instance that ran a forwarded call.
-func answerFromPeer(spent wire.Spent) chain.Answer {
-	if spent.Refusal == "" {
-		return chain.Whole{Status: spent.Status, ContentType: spent.ContentType, Body: spent.Body}
+func answerFromPeer(outcome wire.CallOutcome) chain.Answer {
+	if outcome.Refusal == "" {
+		return chain.Whole{Status: outcome.Status, ContentType: outcome.ContentType, Body: outcome.Body}
 	}
 	return chain.Refuse(deny.Refusal{
-		Kind:       deny.Kind(spent.Refusal),
-		Detail:     spent.Detail,
-		Executed:   deny.Executed(spent.Executed),
-		RetryAfter: spent.RetryAfter,
+		Kind:       deny.Kind(outcome.Refusal),
+		Detail:     outcome.Detail,
+		Executed:   deny.Executed(outcome.Executed),
+		RetryAfter: outcome.RetryAfter,
 	})
 }
 
@@ -266,11 +266,11 @@
 func messageToPeer(answer chain.Answer) wire.Message {
 	switch answer := answer.(type) {
 	case chain.Whole:
-		return wire.Spent{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
+		return wire.CallOutcome{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
 	case chain.Refused:
 		refusal := answer.Refusal
-		return wire.Spent{Refusal: string(refusal.Kind), Detail: refusal.Detail, Executed: string(refusal.Executed), RetryAfter: refusal.RetryAfter}
+		return wire.CallOutcome{Refusal: string(refusal.Kind), Detail: refusal.Detail, Executed: string(refusal.Executed), RetryAfter: refusal.RetryAfter}
 	default:
-		return wire.Failed{Reason: "no answer"}
+		return wire.Failure{Reason: "no answer"}
 	}
 }
--- a/entry/internal/proof/world_test.go
+++ b/entry/internal/proof/world_test.go
@@ -313,7 +313,7 @@
 	if err := f.w.transmit(ctx, address, f.nodeName); err != nil {
 		return nil, err
 	}
-	if failed, ok := answer.(wire.Failed); ok {
+	if failed, ok := answer.(wire.Failure); ok {
 		return nil, errors.New(failed.Reason)
 	}
 	return answer, nil
--- a/entry/internal/serve/serve.go
+++ b/entry/internal/serve/serve.go
@@ -39,7 +39,7 @@
 // Keeper hands over generations that run here or of which a replica is held here.
 type Keeper interface {
 	// Adopt hands a generation over to an instance that continues it.
-	Adopt(a wire.Adopt) wire.Message
+	Adopt(a wire.TakeOver) wire.Message
 }
 
 // Server runs calls that passed all filters.
@@ -75,14 +75,14 @@
 
 // adoptLog takes a generation over from its origin and its keeper and returns its log. The origin has the more complete
 // one, but is waited for only originGrace longer than the keeper.
-func (s *Server) adoptLog(ctx context.Context, position cursor.Cursor) wire.Log {
+func (s *Server) adoptLog(ctx context.Context, position cursor.Cursor) wire.GenerationLog {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	request := wire.Adopt{Request: position.RequestID, By: s.fleet.Self().Name}
-	fromOrigin, fromKeeper := make(chan wire.Adopted, 1), make(chan wire.Adopted, 1)
+	request := wire.TakeOver{Request: position.RequestID, By: s.fleet.Self().Name}
+	fromOrigin, fromKeeper := make(chan wire.TakeOverReply, 1), make(chan wire.TakeOverReply, 1)
 	go func() { fromOrigin <- s.askToAdopt(ctx, position.Origin, request) }()
 	go func() { fromKeeper <- s.askToAdopt(ctx, position.Backup, request) }()
-	var keeperAnswer wire.Adopted
+	var keeperAnswer wire.TakeOverReply
 	select {
 	case a := <-fromOrigin:
 		if hasContent(a) {
@@ -97,22 +97,22 @@
 	if hasContent(keeperAnswer) {
 		return keeperAnswer.Log
 	}
-	return wire.Log{}
+	return wire.GenerationLog{}
 }
 
 // askToAdopt asks one member, maybe this one, to hand a generation over.
-func (s *Server) askToAdopt(ctx context.Context, name string, request wire.Adopt) wire.Adopted {
+func (s *Server) askToAdopt(ctx context.Context, name string, request wire.TakeOver) wire.TakeOverReply {
 	var answer wire.Message
 	if name == "" {
-		return wire.Adopted{}
+		return wire.TakeOverReply{}
 	}
 	if name == s.fleet.Self().Name {
 		answer = s.keeper.Adopt(request)
 	} else if m, ok := s.fleet.View().Get(name); ok && m.State != member.Dead {
 		answer, _ = s.peers.Call(ctx, m.PeerAddress, request)
 	}
-	adopted, _ := answer.(wire.Adopted)
-	return adopted
+	reply, _ := answer.(wire.TakeOverReply)
+	return reply
 }
 
 // generate runs a new generation.
@@ -220,19 +220,19 @@
 }
 
 // hasContent tells whether an answer holds the prompt or any tokens.
-func hasContent(a wire.Adopted) bool {
+func hasContent(a wire.TakeOverReply) bool {
 	return a.Found && (a.Log.Prompt != "" || len(a.Log.Tokens) > 0)
 }
 
 // receiveWithin receives an answer unless the timeout or the context ends first.
-func receiveWithin(ctx context.Context, answers <-chan wire.Adopted, timeout time.Duration) (wire.Adopted, bool) {
+func receiveWithin(ctx context.Context, answers <-chan wire.TakeOverReply, timeout time.Duration) (wire.TakeOverReply, bool) {
 	select {
 	case a := <-answers:
 		return a, true
 	case <-ctx.Done():
 	case <-time.After(timeout):
 	}
-	return wire.Adopted{}, false
+	return wire.TakeOverReply{}, false
 }
 
 // recoveryPolicy returns the recovery policy of a limit; the default is flow.Latency.
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -132,7 +132,7 @@
 	current := w.snapshot.Load()
 	page := wire.ConfigPage{Revision: uint64(current.Revision())}
 	for _, e := range current.Entries(conf.Revision(request.After)) {
-		page.Objects = append(page.Objects, wire.ConfigObject{
+		page.Objects = append(page.Objects, wire.Object{
 			Kind:     e.Key.Kind,
 			Name:     e.Key.Name,
 			Revision: uint64(e.Revision),
--- a/entry/picker/bench_test.go
+++ b/entry/picker/bench_test.go
@@ -13,7 +13,7 @@
 )
 
 // newLoadedPicker returns a picker over many targets, and load reports of many instances with twelve streams each.
-func newLoadedPicker(b *testing.B, instances, targets int) (*Picker, []wire.Load) {
+func newLoadedPicker(b *testing.B, instances, targets int) (*Picker, []wire.LoadReport) {
 	source := staticSource{changed: make(chan struct{})}
 	for i := range targets {
 		source.targets = append(source.targets, site.Target{Name: fmt.Sprint("i-00000", i), Service: "s", Address: fmt.Sprint("10.0.0.1:", i), Domain: "x", Revision: uint64(i + 1)})
@@ -24,29 +24,29 @@
 	for p.targetTable.Load().targetSet.Len() < targets {
 		time.Sleep(time.Millisecond)
 	}
-	loads := make([]wire.Load, instances)
-	for i := range loads {
-		loads[i] = wire.Load{Instance: fmt.Sprint("instance-", i), Sequence: 1}
+	reports := make([]wire.LoadReport, instances)
+	for i := range reports {
+		reports[i] = wire.LoadReport{Instance: fmt.Sprint("instance-", i), Sequence: 1}
 		for n := range 12 {
 			target := fmt.Sprint("i-00000", (i*31+n*7)%targets)
-			loads[i].Targets = append(loads[i].Targets, wire.TargetLoad{Target: target, Flying: 1, Tokens: 8000, Copies: 1})
-			loads[i].Runs = append(loads[i].Runs, wire.RunPlace{Session: fmt.Sprint("session-", i, "-", n), Target: target})
+			reports[i].Targets = append(reports[i].Targets, wire.TargetLoad{Target: target, Streams: 1, PendingPromptTokens: 8000, Replicas: 1})
+			reports[i].Sessions = append(reports[i].Sessions, wire.SessionTarget{Session: fmt.Sprint("session-", i, "-", n), Target: target})
 		}
 	}
-	return p, loads
+	return p, reports
 }
 
 // BenchmarkMerge measures the cost of merging one peer's load report into those of all instances.
 func BenchmarkMerge(b *testing.B) {
 	for name, size := range map[string][2]int{"small": {7, 27}, "medium": {89, 183}, "large": {300, 3000}} {
 		b.Run(name, func(b *testing.B) {
-			p, loads := newLoadedPicker(b, size[0], size[1])
-			p.Merge(loads)
+			p, reports := newLoadedPicker(b, size[0], size[1])
+			p.Merge(reports)
 			b.ReportAllocs()
 			for n := uint64(2); b.Loop(); n++ {
-				load := loads[0]
-				load.Sequence = n
-				p.Merge([]wire.Load{load})
+				report := reports[0]
+				report.Sequence = n
+				p.Merge([]wire.LoadReport{report})
 			}
 		})
 	}
@@ -56,11 +56,11 @@
 func BenchmarkStatements(b *testing.B) {
 	for name, size := range map[string][2]int{"medium": {89, 183}, "large": {300, 3000}} {
 		b.Run(name, func(b *testing.B) {
-			p, loads := newLoadedPicker(b, size[0], size[1])
-			p.Merge(loads)
+			p, reports := newLoadedPicker(b, size[0], size[1])
+			p.Merge(reports)
 			var raw []byte
 			for b.Loop() {
-				raw, _ = wire.Encode(wire.Pages{Loads: p.Newer(nil)})
+				raw, _ = wire.Encode(wire.Updates{Reports: p.Newer(nil)})
 				if _, err := wire.Decode(raw); err != nil {
 					b.Fatal(err)
 				}
@@ -74,8 +74,8 @@
 func BenchmarkStream(b *testing.B) {
 	for name, size := range map[string][2]int{"small": {7, 27}, "medium": {89, 183}, "large": {300, 3000}} {
 		b.Run(name, func(b *testing.B) {
-			p, loads := newLoadedPicker(b, size[0], size[1])
-			p.Merge(loads)
+			p, reports := newLoadedPicker(b, size[0], size[1])
+			p.Merge(reports)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				want := Want{Service: "s", Session: fmt.Sprint("session", n), Prompt: 8000, Memory: 88000}
--- a/entry/picker/choose.go
+++ b/entry/picker/choose.go
@@ -253,9 +253,9 @@
 // cost returns the cost of what all instances run on the target, and of the replicas that it keeps for them.
 func (s *targetState) cost() float64 {
 	remoteLoad := s.remoteLoad.Load()
-	return float64(s.streams.Load()+int64(remoteLoad.Flying)) +
-		costPerUnreadToken*float64(s.unreadTokens.Load()+int64(remoteLoad.Tokens)) +
-		costPerReplica*float64(s.replicas.Load()+int64(remoteLoad.Copies))
+	return float64(s.streams.Load()+int64(remoteLoad.Streams)) +
+		costPerUnreadToken*float64(s.unreadTokens.Load()+int64(remoteLoad.PendingPromptTokens)) +
+		costPerReplica*float64(s.replicas.Load()+int64(remoteLoad.Replicas))
 }
 
 // hasReplicaRoom reports whether the target has memory for one more replica, assuming that each stream and replica
@@ -265,7 +265,7 @@
 		return true
 	}
 	remoteLoad := s.remoteLoad.Load()
-	promptsHeld := s.streams.Load() + s.replicas.Load() + int64(remoteLoad.Flying+remoteLoad.Copies) + 1
+	promptsHeld := s.streams.Load() + s.replicas.Load() + int64(remoteLoad.Streams+remoteLoad.Replicas) + 1
 	return float64(promptsHeld*int64(want.Prompt)) <= replicaMemoryShare*float64(want.Memory)
 }
 
--- a/entry/picker/loads.go
+++ b/entry/picker/loads.go
@@ -18,9 +18,9 @@
 	sequencesPerStart = 1 << 32
 )
 
-// loadReport is the load that an instance reported, and when it was received here.
-type loadReport struct {
-	load     wire.Load
+// receivedReport is the load that an instance reported, and when it was received here.
+type receivedReport struct {
+	load     wire.LoadReport
 	received time.Time
 }
 
@@ -30,30 +30,30 @@
 }
 
 // isExpired reports whether a load report is too old to count.
-func (p *Picker) isExpired(report loadReport, now time.Time) bool {
+func (p *Picker) isExpired(report receivedReport, now time.Time) bool {
 	return now.Sub(report.received) > time.Duration(p.reportTTL.Load())
 }
 
 // Known returns the sequences of the load reports that were received from other instances.
-func (p *Picker) Known() []wire.Said {
+func (p *Picker) Known() []wire.ReportVersion {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := make([]wire.Said, 0, len(p.received))
+	known := make([]wire.ReportVersion, 0, len(p.received))
 	for name, report := range p.received {
-		known = append(known, wire.Said{Instance: name, Sequence: report.load.Sequence})
+		known = append(known, wire.ReportVersion{Instance: name, Sequence: report.load.Sequence})
 	}
 	return known
 }
 
 // Newer returns the load reports that a peer lacks by its known sequences, and a new one of this instance. It drops
 // expired reports.
-func (p *Picker) Newer(known []wire.Said) []wire.Load {
+func (p *Picker) Newer(known []wire.ReportVersion) []wire.LoadReport {
 	now := time.Now()
 	peerSequences := make(map[string]uint64, len(known))
 	for _, report := range known {
 		peerSequences[report.Instance] = report.Sequence
 	}
-	loads := []wire.Load{p.Own()}
+	reports := []wire.LoadReport{p.Own()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, report := range p.received {
@@ -61,31 +61,31 @@
 		case p.isExpired(report, now):
 			delete(p.received, name)
 		case report.load.Sequence > peerSequences[name]:
-			loads = append(loads, report.load)
+			reports = append(reports, report.load)
 		}
 	}
-	return loads
+	return reports
 }
 
 // Own returns a new load report of this instance.
-func (p *Picker) Own() wire.Load {
+func (p *Picker) Own() wire.LoadReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sequence++
-	load := wire.Load{Instance: p.instance, Sequence: p.sequence, Targets: p.targetLoads(), Runs: p.ownPlacements(time.Now())}
+	report := wire.LoadReport{Instance: p.instance, Sequence: p.sequence, Targets: p.targetLoads(), Sessions: p.ownPlacements(time.Now())}
 	p.domainLostAt.Range(func(domain, lostAt any) bool {
 		if age := time.Since(lostAt.(time.Time)); age < minReportTTL {
-			load.Lost = append(load.Lost, wire.DomainLoss{Domain: domain.(string), Age: age})
+			report.DomainLosses = append(report.DomainLosses, wire.DomainLoss{Domain: domain.(string), Age: age})
 		}
 		return true
 	})
 	if localUsage := p.localUsage.Load(); localUsage != nil {
-		load.Spent = (*localUsage)()
+		report.Usage = (*localUsage)()
 	}
 	for _, successor := range p.successors.Load().Unlisted() {
-		load.Successors = append(load.Successors, wire.Successor{Name: successor.Name, Of: successor.Predecessor.Name, Started: successor.Predecessor.StartID, Address: successor.Predecessor.Address, Age: time.Since(successor.FoundAt)})
+		report.Successors = append(report.Successors, wire.Successor{Name: successor.Name, Predecessor: successor.Predecessor.Name, PredecessorStartID: successor.Predecessor.StartID, PredecessorAddress: successor.Predecessor.Address, Age: time.Since(successor.FoundAt)})
 	}
-	return load
+	return report
 }
 
 // Report sets the function that returns how many requests this instance recently sent to each service.
@@ -102,14 +102,14 @@
 }
 
 // Merge takes load reports from a peer and keeps the newest one of each other instance.
-func (p *Picker) Merge(loads []wire.Load) {
+func (p *Picker) Merge(reports []wire.LoadReport) {
 	now := time.Now()
 	var successors []wire.Successor
 	p.mu.Lock()
-	for _, report := range loads {
+	for _, report := range reports {
 		if known, ok := p.received[report.Instance]; report.Instance != p.instance && (!ok || report.Sequence > known.load.Sequence) {
-			p.received[report.Instance] = loadReport{load: report, received: now}
-			p.mergeDomainLosses(report.Lost, now)
+			p.received[report.Instance] = receivedReport{load: report, received: now}
+			p.mergeDomainLosses(report.DomainLosses, now)
 			successors = append(successors, report.Successors...)
 		}
 	}
@@ -140,8 +140,8 @@
 func (p *Picker) targetLoads() []wire.TargetLoad {
 	var targetLoads []wire.TargetLoad
 	for name, s := range p.targetTable.Load().states {
-		load := wire.TargetLoad{Target: name, Flying: int(s.streams.Load()), Tokens: int(s.unreadTokens.Load()), Copies: int(s.replicas.Load())}
-		if load.Flying > 0 || load.Tokens > 0 || load.Copies > 0 {
+		load := wire.TargetLoad{Target: name, Streams: int(s.streams.Load()), PendingPromptTokens: int(s.unreadTokens.Load()), Replicas: int(s.replicas.Load())}
+		if load.Streams > 0 || load.PendingPromptTokens > 0 || load.Replicas > 0 {
 			targetLoads = append(targetLoads, load)
 		}
 	}
@@ -171,20 +171,20 @@
 		if p.isExpired(s, now) {
 			continue
 		}
-		for _, usage := range s.load.Spent {
+		for _, usage := range s.load.Usage {
 			sum := p.remoteUsage[usage.Service]
 			sum.Requests += usage.Requests
-			sum.Repeats += usage.Repeats
+			sum.Retries += usage.Retries
 			p.remoteUsage[usage.Service] = sum
 		}
-		for _, run := range s.load.Runs {
-			p.remotePlacements[run.Session] = run.Target
+		for _, sessionTarget := range s.load.Sessions {
+			p.remotePlacements[sessionTarget.Session] = sessionTarget.Target
 		}
 		for _, targetLoad := range s.load.Targets {
 			sum := loadByTarget[targetLoad.Target]
-			sum.Flying += targetLoad.Flying
-			sum.Tokens += targetLoad.Tokens
-			sum.Copies += targetLoad.Copies
+			sum.Streams += targetLoad.Streams
+			sum.PendingPromptTokens += targetLoad.PendingPromptTokens
+			sum.Replicas += targetLoad.Replicas
 			loadByTarget[targetLoad.Target] = sum
 		}
 	}
--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -70,12 +70,12 @@
 	reconcileMu  sync.Mutex
 
 	mu               sync.Mutex
-	instance         string                // instance is the name under which this instance reports its load.
-	sequence         uint64                // sequence is that of the last load report.
-	received         map[string]loadReport // received maps each other instance to its newest load report.
-	placements       map[string]placement  // placements maps the sessions of this instance to their targets.
-	remotePlacements map[string]string     // remotePlacements maps the sessions of other instances to their targets.
-	remoteUsage      map[string]wire.Usage // remoteUsage maps services to the recent requests of other instances.
+	instance         string                    // instance is the name under which this instance reports its load.
+	sequence         uint64                    // sequence is that of the last load report.
+	received         map[string]receivedReport // received maps each other instance to its newest load report.
+	placements       map[string]placement      // placements maps the sessions of this instance to their targets.
+	remotePlacements map[string]string         // remotePlacements maps sessions of other instances to targets.
+	remoteUsage      map[string]wire.Usage     // remoteUsage maps services to the recent requests of other instances.
 }
 
 // New returns a picker that follows source and calls onRemoved with the address of each target that was removed,
@@ -88,7 +88,7 @@
 		targetTable: cell.New(targetTable{targetSet: (&site.TargetSet{}).WithTargets(nil, time.Now(), 0)}),
 		successors:  cell.New(site.Successors{}),
 		startedAt:   time.Now(),
-		received:    make(map[string]loadReport),
+		received:    make(map[string]receivedReport),
 		placements:  make(map[string]placement),
 		targetsLost: set.GetOrCreateCounter("bramleywharf_targets_lost_total"),
 	}
--- a/entry/picker/picker_test.go
+++ b/entry/picker/picker_test.go
@@ -48,12 +48,12 @@
 }
 
 // reportOfStreams returns a load report of another instance that has streams running on targets.
-func reportOfStreams(sequence uint64, streams map[string]int) wire.Load {
-	load := wire.Load{Instance: "other", Sequence: sequence}
+func reportOfStreams(sequence uint64, streams map[string]int) wire.LoadReport {
+	report := wire.LoadReport{Instance: "other", Sequence: sequence}
 	for name, n := range streams {
-		load.Targets = append(load.Targets, wire.TargetLoad{Target: name, Flying: n})
+		report.Targets = append(report.Targets, wire.TargetLoad{Target: name, Streams: n})
 	}
-	return load
+	return report
 }
 
 func TestStreamChoice(t *testing.T) {
@@ -62,29 +62,29 @@
 		avoid   map[string]bool
 		want    string // want is the chosen target; empty if none may be chosen.
 	}{
-		"load-of-another-instance": {func(p *Picker) { p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"a": 9, "b": 9})}) }, nil, "c"},
+		"load-of-another-instance": {func(p *Picker) { p.Merge([]wire.LoadReport{reportOfStreams(1, map[string]int{"a": 9, "b": 9})}) }, nil, "c"},
 		"older-report-ignored": {func(p *Picker) {
-			p.Merge([]wire.Load{reportOfStreams(2, map[string]int{"a": 9, "b": 9})})
-			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"c": 9})})
+			p.Merge([]wire.LoadReport{reportOfStreams(2, map[string]int{"a": 9, "b": 9})})
+			p.Merge([]wire.LoadReport{reportOfStreams(1, map[string]int{"c": 9})})
 		}, nil, "c"},
 		"expired-report-ignored": {func(p *Picker) {
-			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"c": 90})})
+			p.Merge([]wire.LoadReport{reportOfStreams(1, map[string]int{"c": 90})})
 			time.Sleep(minReportTTL + time.Second)
-			p.Merge([]wire.Load{{Instance: "third", Sequence: 1, Targets: []wire.TargetLoad{{Target: "a", Flying: 9}, {Target: "b", Flying: 9}}}})
+			p.Merge([]wire.LoadReport{{Instance: "third", Sequence: 1, Targets: []wire.TargetLoad{{Target: "a", Streams: 9}, {Target: "b", Streams: 9}}}})
 		}, nil, "c"},
 		"reports-expire-later-in-large-fleet": {func(p *Picker) {
 			p.Expect(4 * time.Second)
-			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"a": 90, "b": 90})})
+			p.Merge([]wire.LoadReport{reportOfStreams(1, map[string]int{"a": 90, "b": 90})})
 			time.Sleep(minReportTTL + time.Second)
-			p.Merge([]wire.Load{{Instance: "third", Sequence: 1, Targets: []wire.TargetLoad{{Target: "c", Flying: 9}}}})
+			p.Merge([]wire.LoadReport{{Instance: "third", Sequence: 1, Targets: []wire.TargetLoad{{Target: "c", Streams: 9}}}})
 		}, nil, "c"},
 		"previous-target-of-session": {func(p *Picker) { p.Restore(map[string]string{"session": "b"}) }, nil, "b"},
 		"previous-target-reported-by-peer": {func(p *Picker) {
-			p.Merge([]wire.Load{{Instance: "other", Sequence: 1, Runs: []wire.RunPlace{{Session: "session", Target: "a"}}}})
+			p.Merge([]wire.LoadReport{{Instance: "other", Sequence: 1, Sessions: []wire.SessionTarget{{Session: "session", Target: "a"}}}})
 		}, nil, "a"},
 		"previous-target-is-overloaded": {func(p *Picker) {
 			p.Restore(map[string]string{"session": "b"})
-			p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"a": 9, "b": 30})})
+			p.Merge([]wire.LoadReport{reportOfStreams(1, map[string]int{"a": 9, "b": 30})})
 		}, nil, "c"},
 		"avoided":                        {func(p *Picker) { p.Restore(map[string]string{"session": "b"}) }, map[string]bool{"a": true, "b": true}, "c"},
 		"all-avoided":                    {func(*Picker) {}, map[string]bool{"a": true, "b": true, "c": true}, ""},
@@ -144,7 +144,7 @@
 				time.Sleep(time.Millisecond)
 				p := newPicker(t)
 				if test.domain == "full" {
-					p.Merge([]wire.Load{reportOfStreams(1, map[string]int{"c": 8})})
+					p.Merge([]wire.LoadReport{reportOfStreams(1, map[string]int{"c": 8})})
 				}
 				target, ok := p.Backup(Want{Service: "s", Session: "session", Prompt: 8000, Memory: 88000, Avoid: test.avoid}, test.domain)
 				quicktest.Assert(t, ok, quicktest.Equals, test.want != "")
@@ -161,12 +161,12 @@
 		p := newPicker(t)
 		pick, _ := p.Stream(Want{Service: "s", Session: "session"})
 		time.Sleep(time.Hour)
-		quicktest.Assert(t, p.Own().Runs, quicktest.HasLen, 1)
+		quicktest.Assert(t, p.Own().Sessions, quicktest.HasLen, 1)
 		pick.Release()
 		time.Sleep(placementTTL - time.Second)
-		quicktest.Assert(t, p.Own().Runs, quicktest.HasLen, 1)
+		quicktest.Assert(t, p.Own().Sessions, quicktest.HasLen, 1)
 		time.Sleep(2 * time.Second)
-		quicktest.Assert(t, p.Own().Runs, quicktest.HasLen, 0)
+		quicktest.Assert(t, p.Own().Sessions, quicktest.HasLen, 0)
 		quicktest.Assert(t, p.Own().Targets, quicktest.HasLen, 0)
 	})
 }
@@ -189,9 +189,9 @@
 				pick, _ := p.Stream(Want{Service: "s", Avoid: map[string]bool{"c": true}})
 				start := time.Now()
 				time.Sleep(time.Second)
-				p.Merge([]wire.Load{{Instance: "other", Sequence: 1, Lost: []wire.DomainLoss{{Domain: "x", Age: test.age}}}})
+				p.Merge([]wire.LoadReport{{Instance: "other", Sequence: 1, DomainLosses: []wire.DomainLoss{{Domain: "x", Age: test.age}}}})
 				quicktest.Assert(t, pick.DomainLostSince(start), quicktest.Equals, test.want)
-				quicktest.Assert(t, p.Own().Lost, quicktest.HasLen, 1)
+				quicktest.Assert(t, p.Own().DomainLosses, quicktest.HasLen, 1)
 			})
 		})
 	}
@@ -295,9 +295,9 @@
 		want          string
 	}{
 		"never-listed":                {nil, func(p *Picker) { p.Adopt(a, "b") }, "b"},
-		"never-listed-found-by-peer":  {nil, func(p *Picker) { p.Merge([]wire.Load{reportOfSuccessor("b", a)}) }, "b"},
+		"never-listed-found-by-peer":  {nil, func(p *Picker) { p.Merge([]wire.LoadReport{reportOfSuccessor("b", a)}) }, "b"},
 		"listed-before":               {[]site.Target{a, b}, func(p *Picker) { p.Adopt(a, "b") }, "a"},
-		"listed-before-found-by-peer": {[]site.Target{a, b}, func(p *Picker) { p.Merge([]wire.Load{reportOfSuccessor("b", a)}) }, "a"},
+		"listed-before-found-by-peer": {[]site.Target{a, b}, func(p *Picker) { p.Merge([]wire.LoadReport{reportOfSuccessor("b", a)}) }, "a"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -343,6 +343,6 @@
 }
 
 // reportOfSuccessor returns a load report of an instance that found a target at the address of its predecessor.
-func reportOfSuccessor(name string, predecessor site.Target) wire.Load {
-	return wire.Load{Instance: "finder", Sequence: 1, Successors: []wire.Successor{{Name: name, Of: predecessor.Name, Started: predecessor.StartID, Address: predecessor.Address}}}
+func reportOfSuccessor(name string, predecessor site.Target) wire.LoadReport {
+	return wire.LoadReport{Instance: "finder", Sequence: 1, Successors: []wire.Successor{{Name: name, Predecessor: predecessor.Name, PredecessorStartID: predecessor.StartID, PredecessorAddress: predecessor.Address}}}
 }
--- a/entry/picker/places.go
+++ b/entry/picker/places.go
@@ -24,8 +24,8 @@
 	defer p.mu.Unlock()
 	placements := make(map[string]string)
 	for _, report := range p.received {
-		for _, run := range report.load.Runs {
-			placements[run.Session] = run.Target
+		for _, sessionTarget := range report.load.Sessions {
+			placements[sessionTarget.Session] = sessionTarget.Target
 		}
 	}
 	for session, own := range p.placements {
@@ -78,16 +78,16 @@
 }
 
 // ownPlacements returns the placements of this instance and drops those that have expired; the caller holds mu.
-func (p *Picker) ownPlacements(now time.Time) []wire.RunPlace {
-	runs := make([]wire.RunPlace, 0, len(p.placements))
+func (p *Picker) ownPlacements(now time.Time) []wire.SessionTarget {
+	sessions := make([]wire.SessionTarget, 0, len(p.placements))
 	for session, current := range p.placements {
 		if current.runs <= 0 && now.After(current.expiresAt) {
 			delete(p.placements, session)
 			continue
 		}
-		runs = append(runs, wire.RunPlace{Session: session, Target: current.target})
+		sessions = append(sessions, wire.SessionTarget{Session: session, Target: current.target})
 	}
-	return runs
+	return sessions
 }
 
 // lastTarget returns the name of the target that has read the prompt of a session, or an empty string.
--- a/entry/picker/successor.go
+++ b/entry/picker/successor.go
@@ -51,8 +51,8 @@
 func (p *Picker) mergeSuccessors(successors []wire.Successor, now time.Time) {
 	anyNew := false
 	for _, successor := range successors {
-		predecessor, ok := p.targetTable.Load().targetSet.Get(successor.Of)
-		if !ok || predecessor.Address != successor.Address || predecessor.StartID != successor.Started {
+		predecessor, ok := p.targetTable.Load().targetSet.Get(successor.Predecessor)
+		if !ok || predecessor.Address != successor.PredecessorAddress || predecessor.StartID != successor.PredecessorStartID {
 			continue
 		}
 		anyNew = p.addSuccessor(site.Successor{Predecessor: predecessor, Name: successor.Name, FoundAt: now.Add(-successor.Age)}, "found by a peer") || anyNew
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -174,7 +174,7 @@
 			return next, true
 		}
 		used := s.Picker.Used(service)
-		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Retries: used.Repeats, Fleet: s.settings.Fleet, Own: ownShare})
+		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Retries: used.Retries, Fleet: s.settings.Fleet, Own: ownShare})
 	})
 	if ok {
 		s.Counts.Repeats.Inc()
@@ -189,7 +189,7 @@
 	var recentUsage []wire.Usage
 	s.retryWindows.Range(func(service, w any) bool {
 		requests, retries := w.(*atomic.Pointer[retry.Window]).Load().Counts(time.Since(s.startedAt))
-		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Repeats: retries})
+		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Retries: retries})
 		return true
 	})
 	return recentUsage
--- a/entry/send/send_test.go
+++ b/entry/send/send_test.go
@@ -69,8 +69,8 @@
 		tries    int
 		want     int
 	}{
-		"busy-fleet-leaves-own-share":        {requests: 10, others: []wire.Usage{{Service: "s", Requests: 100, Repeats: 40}}, tries: 50, want: 4},
-		"idle-fleet-leaves-its-unused-share": {requests: 10, others: []wire.Usage{{Service: "s", Requests: 500, Repeats: 0}}, tries: 50, want: 20},
+		"busy-fleet-leaves-own-share":        {requests: 10, others: []wire.Usage{{Service: "s", Requests: 100, Retries: 40}}, tries: 50, want: 4},
+		"idle-fleet-leaves-its-unused-share": {requests: 10, others: []wire.Usage{{Service: "s", Requests: 500, Retries: 0}}, tries: 50, want: 20},
 		"other-services-do-not-count":        {requests: 10, others: []wire.Usage{{Service: "other", Requests: 500}}, tries: 50, want: 11},
 	}
 	for name, test := range cases {
@@ -79,7 +79,7 @@
 			for range test.requests {
 				s.Request("s")
 			}
-			s.Picker.Merge([]wire.Load{{Instance: "other", Sequence: 1, Spent: test.others}})
+			s.Picker.Merge([]wire.LoadReport{{Instance: "other", Sequence: 1, Usage: test.others}})
 			got := 0
 			for range test.tries {
 				if s.Repeat("s") {
