--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -42,11 +42,11 @@
 	return next
 }
 
-// Swap replaces the value behind p with the result of change. Unlike Update it takes no lock and notifies nobody. It
-// returns false, and leaves the value as it is, when change returns false.
+// TryUpdate replaces the value behind p with the result of change. Unlike Update it takes no lock and notifies nobody.
+// It returns false, and leaves the value as it is, when change returns false.
 //
 // change runs again when another writer has replaced the value meanwhile, so it must have no side effects.
-func Swap[T any](p *atomic.Pointer[T], change func(T) (T, bool)) bool {
+func TryUpdate[T any](p *atomic.Pointer[T], change func(T) (T, bool)) bool {
 	for {
 		old := p.Load()
 		next, ok := change(*old)
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -8,7 +8,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestSwap(t *testing.T) {
+func TestTryUpdate(t *testing.T) {
 	for name, test := range map[string]struct {
 		writers, updatesPerWriter, maxValue, want int
 	}{
@@ -25,7 +25,7 @@
 			for range test.writers {
 				goroutines.Go(func() {
 					for range test.updatesPerWriter {
-						if Swap(p, func(n int) (int, bool) { return n + 1, n < test.maxValue }) {
+						if TryUpdate(p, func(n int) (int, bool) { return n + 1, n < test.maxValue }) {
 							accepted.Add(1)
 						}
 					}
--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -190,5 +190,5 @@
 
 // updateHealth replaces the health of a target by the result of change, which may be called more than once.
 func (s *targetState) updateHealth(change func(health.Estimate) health.Estimate) {
-	cell.Swap(&s.healthStatus, func(e health.Estimate) (health.Estimate, bool) { return change(e), true })
+	cell.TryUpdate(&s.healthStatus, func(e health.Estimate) (health.Estimate, bool) { return change(e), true })
 }
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -159,7 +159,7 @@
 
 // Request counts a caller's request to a service, on which the number of allowed retries depends.
 func (s *Sender) Request(service string) {
-	cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
+	cell.TryUpdate(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
 		return w.WithRequest(time.Since(s.startedAt)), true
 	})
 }
@@ -167,7 +167,7 @@
 // Repeat counts one retry of a request to a service and returns true, or returns false when no retry is left in this
 // instance's share of the limit and in what the fleet leaves unused.
 func (s *Sender) Repeat(service string) bool {
-	ok := cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
+	ok := cell.TryUpdate(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
 		now := time.Since(s.startedAt)
 		ownShare := s.settings.Retries()
 		if next, ok := w.WithRetry(now, ownShare); ok {
@@ -203,7 +203,7 @@
 // Learn replaces the estimate of the pauses in a service's streams by the result of change, which may be called more
 // than once.
 func (s *Sender) Learn(service string, change func(flow.PauseEstimate) flow.PauseEstimate) {
-	cell.Swap(pointerFor[flow.PauseEstimate](&s.paces, service), func(p flow.PauseEstimate) (flow.PauseEstimate, bool) { return change(p), true })
+	cell.TryUpdate(pointerFor[flow.PauseEstimate](&s.paces, service), func(p flow.PauseEstimate) (flow.PauseEstimate, bool) { return change(p), true })
 }
 
 // retryWindow returns the counts of recent requests and retries of a service.
