--- a/core/meter/conn.go
+++ b/core/meter/conn.go
@@ -16,8 +16,8 @@
 	byteCount *metrics.Counter
 }
 
-// Counted returns a dial function whose connections add the bytes that they read and write to a counter.
-func Counted(dial Dial, byteCount *metrics.Counter) Dial {
+// CountBytes returns a dial function whose connections add the bytes that they read and write to a counter.
+func CountBytes(dial Dial, byteCount *metrics.Counter) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
--- a/entry/internal/boot/instance.go
+++ b/entry/internal/boot/instance.go
@@ -163,7 +163,7 @@
 // platformTransport returns an HTTP transport that counts the bytes to and from the platform in a metric.
 func platformTransport(set *metrics.Set) *http.Transport {
 	dial := (&net.Dialer{Timeout: platformDialTimeout}).DialContext
-	return &http.Transport{DialContext: meter.Counted(dial, set.GetOrCreateCounter("bramleywharf_platform_bytes_total"))}
+	return &http.Transport{DialContext: meter.CountBytes(dial, set.GetOrCreateCounter("bramleywharf_platform_bytes_total"))}
 }
 
 // stop closes the servers, the controllers and the peer transport, cutting what is still open.
--- a/entry/internal/engine/http.go
+++ b/entry/internal/engine/http.go
@@ -56,7 +56,7 @@
 // NewHTTP returns a client that connects over TCP and registers its metrics in the set.
 func NewHTTP(set *metrics.Set) *HTTP {
 	dial := (&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}).DialContext
-	countedDial := meter.Counted(dial, set.GetOrCreateCounter("bramleywharf_target_report_bytes_total"))
+	countedDial := meter.CountBytes(dial, set.GetOrCreateCounter("bramleywharf_target_report_bytes_total"))
 	return &HTTP{
 		pooledTransport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePerTarget, DisableCompression: true},
 		freshTransport:  &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true},
