--- a/core/wait/wait.go
+++ b/core/wait/wait.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// For waits for d and returns true, or returns false when the context ends first.
-func For(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d and returns true, or returns false when the context ends first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/entry/feed/feed.go
+++ b/entry/feed/feed.go
@@ -239,7 +239,7 @@
 		active, w.takeoverUntil = f.shouldQuery(w.takeoverUntil)
 		if !active && w.listed {
 			w.wasIdle = true
-			wait.For(ctx, electionInterval)
+			wait.Sleep(ctx, electionInterval)
 			continue
 		}
 		w.queryOnce(ctx)
@@ -272,15 +272,15 @@
 	case errors.Is(err, ErrForgotten):
 		f.log.WithField("revision", w.revision).Info("store no longer holds the history; listing again")
 		w.listed = false
-		wait.For(ctx, f.settings.Pace-time.Since(start))
+		wait.Sleep(ctx, f.settings.Pace-time.Since(start))
 		return
 	case err != nil:
 		w.recordFailure(err)
-		wait.For(ctx, w.nextBackoff())
+		wait.Sleep(ctx, w.nextBackoff())
 		return
 	}
 	w.recordSuccess(page, start)
-	wait.For(ctx, f.settings.Pace-time.Since(start))
+	wait.Sleep(ctx, f.settings.Pace-time.Since(start))
 }
 
 // listOrWatch makes one call; a failed watch is followed by a list, since the store leaves a watch without an answer
--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -143,7 +143,7 @@
 			return
 		case address := <-s.newerPeers:
 			s.Pull(ctx, address)
-			wait.For(ctx, pullInterval/4)
+			wait.Sleep(ctx, pullInterval/4)
 		case <-ticker.C:
 			if address, ok := s.pickPeer(members); ok {
 				s.Pull(ctx, address)
--- a/entry/flight/flight.go
+++ b/entry/flight/flight.go
@@ -148,7 +148,7 @@
 			return pick, send.Source{}, true
 		}
 		clear(s.avoidedTargets)
-		if time.Now().After(deadline) || !wait.For(ctx, targetPollInterval) {
+		if time.Now().After(deadline) || !wait.Sleep(ctx, targetPollInterval) {
 			return nil, send.Source{}, false
 		}
 	}
--- a/entry/inst/idles.go
+++ b/entry/inst/idles.go
@@ -25,7 +25,7 @@
 func newIdleConns(limit func() time.Duration) *idleConns {
 	i := &idleConns{limit: limit, idleSince: make(map[net.Conn]time.Time)}
 	i.Loop = wait.Start(func(ctx context.Context) {
-		for wait.For(ctx, sweepInterval) {
+		for wait.Sleep(ctx, sweepInterval) {
 			i.sweep(time.Now())
 		}
 	})
--- a/entry/inst/join.go
+++ b/entry/inst/join.go
@@ -26,7 +26,7 @@
 		if !failing {
 			i.log.WithError(err).WithField("step", step).Warn("store is unreachable; trying again")
 		}
-		if !wait.For(ctx, storeRetryDelay) {
+		if !wait.Sleep(ctx, storeRetryDelay) {
 			return fmt.Errorf("%s: %w", step, ctx.Err())
 		}
 	}
--- a/entry/inst/leave.go
+++ b/entry/inst/leave.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	if members := i.fleet.Load(); members != nil {
 		members.Leave()
-		wait.For(ctx, lameDuckTime)
+		wait.Sleep(ctx, lameDuckTime)
 	}
 	if callerServer != nil {
 		if err := callerServer.Shutdown(ctx); err != nil {
--- a/entry/inst/places.go
+++ b/entry/inst/places.go
@@ -33,7 +33,7 @@
 	i := s.instance
 	var saved map[string]string
 	failing := false
-	for wait.For(ctx, saveInterval) {
+	for wait.Sleep(ctx, saveInterval) {
 		if !s.members.Elected("places", 1) {
 			continue
 		}
--- a/entry/internal/lend/loop.go
+++ b/entry/internal/lend/loop.go
@@ -28,7 +28,7 @@
 			return
 		case <-tick.C:
 		case <-l.borrowNow:
-			wait.For(ctx, batchDelay)
+			wait.Sleep(ctx, batchDelay)
 		}
 		l.borrow(ctx)
 		l.mu.Lock()
--- a/entry/internal/once/once.go
+++ b/entry/internal/once/once.go
@@ -203,7 +203,7 @@
 		if record.Phase == phaseUnsent || isOwnWrite {
 			return o.takeOverClaim(ctx, order, state, record, stored, targets)
 		}
-		if time.Since(record.At) > callTimeout || !wait.For(waitCtx, claimPollInterval) {
+		if time.Since(record.At) > callTimeout || !wait.Sleep(waitCtx, claimPollInterval) {
 			break
 		}
 	}
@@ -288,7 +288,7 @@
 		defer cancel()
 		for {
 			_, err := o.claims.write(ctx, stored, record)
-			if err == nil || isClaimTaken(err) || !wait.For(ctx, time.Second) {
+			if err == nil || isClaimTaken(err) || !wait.Sleep(ctx, time.Second) {
 				return
 			}
 		}
@@ -322,7 +322,7 @@
 	targets := o.targets.Services(order.Service)
 	var lastErr error
 	for i, target := range targets {
-		if i > 0 && (!o.retryBudget.tryWithdraw() || !wait.For(ctx, retryDelay)) {
+		if i > 0 && (!o.retryBudget.tryWithdraw() || !wait.Sleep(ctx, retryDelay)) {
 			break
 		}
 		if i > 0 {
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -237,11 +237,11 @@
 	for ctx.Err() == nil {
 		elected := w.roles.Elected("watch", watcherCount)
 		if !elected && time.Now().After(watchUntil) && !w.roles.Elected("watch", watcherCountAt(w.Age())) {
-			wait.For(ctx, roleCheckInterval/2+rand.N(roleCheckInterval))
+			wait.Sleep(ctx, roleCheckInterval/2+rand.N(roleCheckInterval))
 			continue
 		}
 		if err := w.pollPlatform(ctx); err != nil {
-			wait.For(ctx, backoff/2+rand.N(backoff))
+			wait.Sleep(ctx, backoff/2+rand.N(backoff))
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
--- a/lab/internal/slopes/row.go
+++ b/lab/internal/slopes/row.go
@@ -59,14 +59,14 @@
 	var failures atomic.Int64
 	startLoad(loadCtx, s, &callers, &failures)
 	if s.Streams > 0 || s.Starts > 0 {
-		wait.For(ctx, s.For/2)
+		wait.Sleep(ctx, s.For/2)
 	}
 	before, err := scrapeAll(ctx, s.Admins)
 	if err != nil {
 		return Row{}, err
 	}
 	start := time.Now()
-	wait.For(ctx, s.For)
+	wait.Sleep(ctx, s.For)
 	after, err := scrapeAll(ctx, s.Admins)
 	if err != nil {
 		return Row{}, err
@@ -146,7 +146,7 @@
 func countFailure(ctx context.Context, err error, failures *atomic.Int64) {
 	if err != nil && ctx.Err() == nil {
 		failures.Add(1)
-		wait.For(ctx, 100*time.Millisecond)
+		wait.Sleep(ctx, 100*time.Millisecond)
 	}
 }
 
@@ -173,7 +173,7 @@
 			if lowest(samples, metricRevision) >= float64(revision) {
 				break
 			}
-			wait.For(ctx, 5*time.Millisecond)
+			wait.Sleep(ctx, 5*time.Millisecond)
 		}
 		longest = max(longest, time.Since(start))
 	}
--- a/stand/engine/engine.go
+++ b/stand/engine/engine.go
@@ -115,7 +115,7 @@
 		return
 	}
 	defer b.releaseSlot()
-	if !wait.For(ctx, time.Duration(b.startPrefill(g.request))*b.settings.Prefill) {
+	if !wait.Sleep(ctx, time.Duration(b.startPrefill(g.request))*b.settings.Prefill) {
 		g.end("cancelled")
 		return
 	}
@@ -124,7 +124,7 @@
 		prefixHash = Extend(prefixHash, token)
 	}
 	for offset := len(g.request.Forced); offset < g.request.MaxTokens; offset++ {
-		if !wait.For(ctx, b.settings.Gap) {
+		if !wait.Sleep(ctx, b.settings.Gap) {
 			g.end("cancelled")
 			return
 		}
