--- a/core/spill/writer.go
+++ b/core/logbuf/writer.go
@@ -1,4 +1,4 @@
-package spill
+package logbuf
 
 import (
 	"io"
--- a/core/spill/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package spill writes log lines in the background, so that logging never
-// blocks the caller; lines beyond the buffer are dropped.
-package spill
