--- a/core/audit/trail_test.go
+++ b/core/audit/trail_test.go
@@ -27,7 +27,7 @@
 	return r.Store.Put(ctx, o)
 }
 
-func TestChange(t *testing.T) {
+func TestApply(t *testing.T) {
 	cases := map[string]struct {
 		fault     store.Fault
 		faultEnds time.Duration // The time after which the fault ends, or 0 for never.
@@ -37,12 +37,12 @@
 		stored    string  // The value of the sheet afterwards.
 	}{
 		"healthy":                               {fault: store.Healthy{}, outcome: Accepted, stored: "ours"},
-		"answers-lost":                          {fault: store.LoseAnswers{}, outcome: Accepted, stored: "ours"},
+		"answers-lost":                          {fault: store.LoseResponses{}, outcome: Accepted, stored: "ours"},
 		"writes-lost-for-a-while":               {fault: store.LoseWrites{}, faultEnds: 200 * time.Millisecond, outcome: Accepted, stored: "ours"},
 		"writes-lost":                           {fault: store.LoseWrites{}, wantErr: true},
 		"platform-down":                         {fault: store.Down{}, wantErr: true},
 		"competing-write-wins":                  {fault: store.Healthy{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
-		"competing-write-wins-and-answers-lost": {fault: store.LoseAnswers{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
+		"competing-write-wins-and-answers-lost": {fault: store.LoseResponses{}, competing: true, wantErr: true, outcome: Refused, stored: "theirs"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				}}
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
-				_, err := NewTrail(r).Change(ctx, "planner", store.Object{Kind: conf.KindSheet, Name: "club", Value: []byte(`"ours"`)}, nil)
+				_, err := NewTrail(r).Apply(ctx, "planner", store.Object{Kind: conf.KindSheet, Name: "club", Value: []byte(`"ours"`)}, nil)
 				c.Assert(err != nil, quicktest.Equals, test.wantErr, quicktest.Commentf("%v", err))
 				memory.SetFault(store.Healthy{})
 				records, err := NewTrail(memory).History(t.Context(), conf.KindSheet, "club")
--- a/entry/feed/swap.go
+++ b/entry/feed/swap.go
@@ -45,13 +45,13 @@
 // Loads holds the newest load report of each instance: what that instance has running at targets.
 type Loads interface {
 	// Known returns the sequence numbers of the reports of other instances.
-	Known() []wire.Said
+	Known() []wire.ReportVersion
 	// Merge takes reports from a peer.
-	Merge(loads []wire.Load)
+	Merge(reports []wire.LoadReport)
 	// Newer returns the reports that a peer lacks.
-	Newer(known []wire.Said) []wire.Load
+	Newer(known []wire.ReportVersion) []wire.LoadReport
 	// Own returns a new report of this instance.
-	Own() wire.Load
+	Own() wire.LoadReport
 	// Expect sets the time between two exchanges of reports.
 	Expect(period time.Duration)
 }
@@ -61,7 +61,7 @@
 	*wait.Loop
 	feeds      []*Feed
 	loads      Loads
-	net        peer.Net
+	peers      peer.Client
 	log        log.Interface
 	newerPeers chan string // newerPeers passes on the address of a peer that has a newer revision.
 
@@ -73,8 +73,8 @@
 }
 
 // NewSwap returns a Swap that answers pulls; it makes its own pulls after Start.
-func NewSwap(net peer.Net, loads Loads, logger log.Interface, feeds ...*Feed) *Swap {
-	return &Swap{feeds: feeds, loads: loads, net: net, log: logger, newerPeers: make(chan string, 1)}
+func NewSwap(peers peer.Client, loads Loads, logger log.Interface, feeds ...*Feed) *Swap {
+	return &Swap{feeds: feeds, loads: loads, peers: peers, log: logger, newerPeers: make(chan string, 1)}
 }
 
 // Start begins to pull from members.
@@ -94,23 +94,23 @@
 }
 
 // Handle answers a peer's pull.
-func (s *Swap) Handle(p wire.Pull) wire.Message {
-	var pages wire.Pages
-	if p.Loads {
-		s.loads.Merge([]wire.Load{p.Own})
-		pages.Loads = s.loads.Newer(p.Known)
+func (s *Swap) Handle(p wire.PullUpdates) wire.Message {
+	var updates wire.Updates
+	if p.WantReports {
+		s.loads.Merge([]wire.LoadReport{p.OwnReport})
+		updates.Reports = s.loads.Newer(p.KnownReports)
 	}
-	for _, mark := range p.Marks {
+	for _, known := range p.Revisions {
 		for _, f := range s.feeds {
-			if f.Kind() == mark.Kind {
+			if f.Kind() == known.Kind {
 				age := f.Age()
-				page := pageToWire(mark.Kind, f.View().Since(mark.At))
-				page.Age = age
-				pages.Pages = append(pages.Pages, page)
+				kindUpdates := pageToWire(known.Kind, f.View().ChangesSince(known.Revision))
+				kindUpdates.Age = age
+				updates.Kinds = append(updates.Kinds, kindUpdates)
 			}
 		}
 	}
-	return pages
+	return updates
 }
 
 // Heard requests a pull from a peer whose heartbeat reports a newer revision.
@@ -128,7 +128,7 @@
 func (s *Swap) Revision() uint64 {
 	var newest uint64
 	for _, f := range s.feeds {
-		newest = max(newest, f.View().At())
+		newest = max(newest, f.View().Revision())
 	}
 	return newest
 }
@@ -143,7 +143,7 @@
 			return
 		case address := <-s.newerPeers:
 			s.Pull(ctx, address)
-			wait.For(ctx, pullInterval/4)
+			wait.Sleep(ctx, pullInterval/4)
 		case <-ticker.C:
 			if address, ok := s.pickPeer(members); ok {
 				s.Pull(ctx, address)
@@ -157,22 +157,22 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	start := time.Now()
-	var request wire.Pull
+	var request wire.PullUpdates
 	if every := pullsPerLoadExchange(s.fleetSize); s.pullCount%every == 0 {
 		s.loads.Expect(time.Duration(every) * pullInterval)
-		request.Loads, request.Own, request.Known = true, s.loads.Own(), s.loads.Known()
+		request.WantReports, request.OwnReport, request.KnownReports = true, s.loads.Own(), s.loads.Known()
 	}
 	for _, f := range s.feeds {
-		request.Marks = append(request.Marks, wire.Mark{Kind: f.Kind(), At: f.View().At()})
+		request.Revisions = append(request.Revisions, wire.KnownRevision{Kind: f.Kind(), Revision: f.View().Revision()})
 	}
-	response, err := s.net.Ask(ctx, address, request)
+	response, err := s.peers.Call(ctx, address, request)
 	s.logPullResult(address, err)
-	pages, ok := response.(wire.Pages)
+	updates, ok := response.(wire.Updates)
 	if err != nil || !ok {
 		return false
 	}
-	s.loads.Merge(pages.Loads)
-	for _, p := range pages.Pages {
+	s.loads.Merge(updates.Reports)
+	for _, p := range updates.Kinds {
 		for _, f := range s.feeds {
 			if f.Kind() == p.Kind {
 				f.Take(pageFromWire(p), address)
@@ -243,8 +243,8 @@
 }
 
 // pageFromWire decodes a page from a message.
-func pageFromWire(p wire.KindPage) mirror.Page {
-	page := mirror.Page{At: p.At}
+func pageFromWire(p wire.KindUpdates) mirror.Page {
+	page := mirror.Page{Revision: p.Revision}
 	for _, o := range p.Objects {
 		page.Objects = append(page.Objects, mirror.Object{
 			Name:     o.Name,
@@ -257,10 +257,10 @@
 }
 
 // pageToWire encodes a page of a kind into a message.
-func pageToWire(kind string, p mirror.Page) wire.KindPage {
-	page := wire.KindPage{Kind: kind, At: p.At}
+func pageToWire(kind string, p mirror.Page) wire.KindUpdates {
+	updates := wire.KindUpdates{Kind: kind, Revision: p.Revision}
 	for _, o := range p.Objects {
-		page.Objects = append(page.Objects, wire.ConfigObject{
+		updates.Objects = append(updates.Objects, wire.Object{
 			Kind:     kind,
 			Name:     o.Name,
 			Revision: o.Revision,
@@ -268,5 +268,5 @@
 			Value:    o.Raw,
 		})
 	}
-	return page
+	return updates
 }
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -37,8 +37,8 @@
 	self string
 }
 
-// Ask delivers a message, or times out if either direction is cut.
-func (e endpoint) Ask(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
+// Call delivers a message, or times out if either direction is cut.
+func (e endpoint) Call(ctx context.Context, address string, m wire.Message) (wire.Message, error) {
 	e.net.mu.Lock()
 	to, cut := e.net.fleets[address], e.net.cut
 	e.net.mu.Unlock()
@@ -161,7 +161,7 @@
 					c.Check(ok, quicktest.IsTrue)
 					c.Check(m.State, quicktest.Equals, test.state, quicktest.Commentf("%s", name))
 					offered := false
-					for _, address := range f.View().Callable(name, true) {
+					for _, address := range f.View().CallerAddresses(name, true) {
 						offered = offered || address == "i-3"
 					}
 					c.Check(offered, quicktest.Equals, !test.withdrawn, quicktest.Commentf("%s", name))
--- a/entry/inst/inst.go
+++ b/entry/inst/inst.go
@@ -96,7 +96,7 @@
 	deps          Borders
 	log           log.Interface
 	set           *metrics.Set
-	peerTransport *peer.Quic
+	peerTransport *peer.QUIC
 	exchange      *feed.Swap
 	board         *board.Board
 	fleet         atomic.Pointer[fleet.Fleet]
@@ -199,7 +199,7 @@
 	}
 	i.picker.Name(self.Name, self.Incarnation)
 	joined := make(chan struct{})
-	i.peerTransport, err = peer.NewQuic(self.PeerAddress, secret, i.peerHandler(joined), i.set)
+	i.peerTransport, err = peer.NewQUIC(self.PeerAddress, secret, i.peerHandler(joined), i.set)
 	if err != nil {
 		return fmt.Errorf("start peer transport: %w", err)
 	}
@@ -227,7 +227,7 @@
 // callerAddresses returns the addresses of the instances that callers may use.
 func (i *Instance) callerAddresses() []string {
 	members := i.fleet.Load()
-	return members.View().Callable(members.Self().Name, i.ready.Load())
+	return members.View().CallerAddresses(members.Self().Name, i.ready.Load())
 }
 
 // reportFailure sends the error of a component to the channel of Failed; errors after the first are only logged.
@@ -245,22 +245,22 @@
 		select {
 		case <-joined:
 		case <-ctx.Done():
-			return wire.Failed{Reason: "not ready"}
+			return wire.Failure{Reason: "not ready"}
 		}
 		switch m := m.(type) {
 		case wire.Gossip:
 			return i.fleet.Load().Handle(ctx, m)
-		case wire.Pull:
+		case wire.PullUpdates:
 			return i.exchange.Handle(m)
 		default:
-			return wire.Failed{Reason: "not a question"}
+			return wire.Failure{Reason: "not a question"}
 		}
 	}
 }
 
 // waitForConfig waits until the configuration and the targets are received.
 func (i *Instance) waitForConfig(ctx context.Context, configFeed, targetFeed *feed.Feed) error {
-	for i.board.Config() == nil || targetFeed.View().At() == 0 {
+	for i.board.Config() == nil || targetFeed.View().Revision() == 0 {
 		select {
 		case <-i.board.Changed():
 		case <-targetFeed.Changed():
@@ -286,12 +286,12 @@
 		filter.Noted{},
 	)
 	limits := i.board.Config().Limits
-	conns := newIdleConns(func() time.Duration { return i.board.Config().Limits.Idle })
+	conns := newIdleConns(func() time.Duration { return i.board.Config().Limits.IdleTimeout })
 	i.addCloser(conns.Close)
 	callerServer := &http.Server{
 		Handler:           i.deps.Front(handler, i.board),
 		ReadHeaderTimeout: limits.HeaderTimeout,
-		MaxHeaderBytes:    limits.Header,
+		MaxHeaderBytes:    limits.HeaderBytes,
 		ConnState:         conns.trackState,
 	}
 	if err := i.serve(callerServer, members.Self().CallerAddress); err != nil {
--- a/entry/internal/boot/instance.go
+++ b/entry/internal/boot/instance.go
@@ -31,7 +31,7 @@
 type Instance struct {
 	settings     Settings
 	log          log.Interface
-	peers        *peer.Quic
+	peers        *peer.QUIC
 	node         *node.Node
 	front        *front.Front
 	callerServer *http.Server
@@ -54,7 +54,7 @@
 	}
 	ready := make(chan struct{})
 	var err error
-	i.peers, err = peer.NewQuic(s.PeerListen, []byte(s.FleetSecret), i.peerHandler(ready), set)
+	i.peers, err = peer.NewQUIC(s.PeerListen, []byte(s.FleetSecret), i.peerHandler(ready), set)
 	if err != nil {
 		return nil, fmt.Errorf("start peer transport: %w", err)
 	}
@@ -117,7 +117,7 @@
 		select {
 		case <-ready:
 		case <-ctx.Done():
-			return wire.Failed{Reason: "not ready"}
+			return wire.Failure{Reason: "not ready"}
 		}
 		return i.node.HandlePeer(ctx, m)
 	}
@@ -163,7 +163,7 @@
 // platformTransport returns an HTTP transport that counts the bytes to and from the platform in a metric.
 func platformTransport(set *metrics.Set) *http.Transport {
 	dial := (&net.Dialer{Timeout: platformDialTimeout}).DialContext
-	return &http.Transport{DialContext: meter.Counted(dial, set.GetOrCreateCounter("bramleywharf_platform_bytes_total"))}
+	return &http.Transport{DialContext: meter.CountBytes(dial, set.GetOrCreateCounter("bramleywharf_platform_bytes_total"))}
 }
 
 // stop closes the servers, the controllers and the peer transport, cutting what is still open.
--- a/entry/internal/node/node.go
+++ b/entry/internal/node/node.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/member"
 	"bramleywharf.example/core/peer"
 	"bramleywharf.example/core/store"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/core/wire"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/filter"
@@ -43,7 +43,7 @@
 	Platform store.Store
 	Engines  engine.Client
 	Services engine.Caller
-	Peers    peer.Net
+	Peers    peer.Client
 }
 
 // Node is an entry instance without its servers.
@@ -63,12 +63,12 @@
 
 // New returns a node whose controllers are running.
 func New(s Settings, b Borders, logger log.Interface, set *metrics.Set) (*Node, error) {
-	sealer, err := token.NewSealer(s.Secret)
+	sealer, err := cursor.NewSealer(s.Secret)
 	if err != nil {
 		return nil, fmt.Errorf("set up event ids: %w", err)
 	}
 	n := &Node{done: make(chan struct{})}
-	platform := store.NewCounted(b.Platform, set)
+	platform := store.NewInstrumented(b.Platform, set)
 	n.Watch = watch.New(platform, b.Peers, logger, set)
 	n.Fleet = fleet.New(fleet.Settings{Self: s.Self, Seeds: s.Seeds}, b.Peers, platform, n.Watch, logger, set)
 	n.Watch.Start(n.Fleet)
@@ -127,24 +127,24 @@
 		return n.Fleet.Handle(ctx, m)
 	case wire.PullConfig:
 		return n.Watch.Handle(m)
-	case wire.Keep:
+	case wire.SaveLogs:
 		return n.keep.Handle(m)
-	case wire.Adopt:
+	case wire.TakeOver:
 		return n.keep.Adopt(m)
-	case wire.Borrow:
+	case wire.BorrowSlots:
 		return n.lend.Handle(m)
-	case wire.Spend:
+	case wire.RunKeyedCall:
 		return n.runIssuedCall(ctx, m)
 	default:
-		return wire.Failed{Reason: "not a question"}
+		return wire.Failure{Reason: "not a question"}
 	}
 }
 
 // runIssuedCall runs a call that a peer forwarded because its key was issued here.
-func (n *Node) runIssuedCall(ctx context.Context, request wire.Spend) wire.Message {
+func (n *Node) runIssuedCall(ctx context.Context, request wire.RunKeyedCall) wire.Message {
 	service, ok := n.Watch.Snapshot().Service(request.Service)
 	if !ok {
-		return wire.Failed{Reason: "unknown service " + strconv.Quote(request.Service)}
+		return wire.Failure{Reason: "unknown service " + strconv.Quote(request.Service)}
 	}
 	return n.Issuer.Handle(ctx, n.once, serve.Declared(service, request.Method, request.Path), request)
 }
--- a/entry/internal/pool/pool.go
+++ b/entry/internal/pool/pool.go
@@ -120,7 +120,7 @@
 		return route.Candidate{}, false
 	}
 	chosen := candidates[index]
-	if chosen.Warm == 0 {
+	if chosen.CachedPrefix == 0 {
 		p.updateTarget(chosen.Name, func(w watchedTarget) watchedTarget {
 			w.cacheEstimate = w.cacheEstimate.withRouted(prefix)
 			return w
@@ -264,7 +264,7 @@
 	for _, t := range snapshot.Targets() {
 		targetsByName[t.Name] = t
 		for _, grant := range t.Models {
-			model, _, _ := conf.SplitGrant(grant)
+			model, _, _ := conf.ParseGrant(grant)
 			placesByModel[model] = append(placesByModel[model], route.Place{Name: t.Name, Domain: t.Domain})
 		}
 	}
--- a/entry/internal/relay/recover.go
+++ b/entry/internal/relay/recover.go
@@ -26,7 +26,7 @@
 	g.lineage = flow.NewLineage(g.cursor.Offset, g.cursor.Hash, g.cursor.Attempt-1)
 	var number int
 	g.lineage, number = g.lineage.WithAttempt()
-	a := g.newAttempt(number, target, g.cursor.Owner)
+	a := g.newAttempt(number, target, g.cursor.RunID)
 	g.attach(a, g.attachOffset(a))
 }
 
@@ -143,7 +143,7 @@
 	case len(g.avoidedTargets) > 0:
 		clear(g.avoidedTargets)
 	case len(g.attempts) == 0:
-		g.refuse(deny.KindUnavailable, g.lineage.Last() > 0, "no target can run model %s now", g.job.Spec.Model)
+		g.refuse(deny.KindUnavailable, g.lineage.LastAttempt() > 0, "no target can run model %s now", g.job.Spec.Model)
 	default:
 		g.pendingStart = nil
 	}
--- a/entry/internal/relay/run.go
+++ b/entry/internal/relay/run.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/deny"
 	"bramleywharf.example/core/flow"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/internal/engine"
 )
@@ -23,9 +23,9 @@
 	sink           chain.Sink
 	runID          string // runID is part of the ids of the attempts that this run starts.
 	journalEntry   Entry
-	cursor         token.Cursor
+	cursor         cursor.Cursor
 	lineage        flow.Lineage
-	gaps           flow.Gaps
+	gaps           flow.GapEstimate
 	textsOffset    int      // textsOffset is the offset of the first of texts.
 	texts          []string // texts holds the known tokens of the answer.
 	textsHash      uint64   // textsHash is the running hash of texts, valid while textsOffset is 0.
@@ -59,7 +59,7 @@
 		relay:          r,
 		job:            j,
 		sink:           sink,
-		runID:          token.NewID()[:runIDLength],
+		runID:          cursor.NewID()[:runIDLength],
 		journalEntry:   r.journal.Open(j.Spec, j.Base, j.Texts),
 		cursor:         j.Cursor,
 		lineage:        flow.NewLineage(j.Cursor.Offset, j.Cursor.Hash, j.Cursor.Attempt),
@@ -107,7 +107,7 @@
 	g.texts = append(g.texts, t.Text)
 	g.textsHash = flow.NextHash(g.textsHash, t.Text)
 	g.cursor = g.cursor.WithProgress(a.target.Name, a.runID, a.number, g.lineage.Offset(), g.lineage.Hash())
-	g.cursor.Keeper = g.journalEntry.Keeper()
+	g.cursor.Backup = g.journalEntry.Keeper()
 	id, err := g.relay.sealer.Seal(g.job.Spec.Organisation, g.cursor)
 	if err == nil {
 		err = g.sink.Token(id, t)
@@ -273,7 +273,7 @@
 // handleEnd finishes the answer if the stream ended normally and all of its tokens were delivered.
 // Otherwise the attempt fails.
 func (g *generation) handleEnd(a *attempt, e engine.Ended) {
-	allDelivered := g.lineage.Holds(a.number) && a.next == g.lineage.Offset()
+	allDelivered := g.lineage.CanExtend(a.number) && a.next == g.lineage.Offset()
 	if e.Complete() && allDelivered {
 		g.discardOthers(a)
 		g.finish(chain.Streamed{Reason: e.Reason, Tokens: g.lineage.Offset()})
--- a/entry/internal/serve/serve.go
+++ b/entry/internal/serve/serve.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"bramleywharf.example/core/conf"
+	"bramleywharf.example/core/cursor"
 	"bramleywharf.example/core/deny"
 	"bramleywharf.example/core/flow"
 	"bramleywharf.example/core/member"
 	"bramleywharf.example/core/peer"
 	"bramleywharf.example/core/route"
-	"bramleywharf.example/core/token"
 	"bramleywharf.example/core/wire"
 	"bramleywharf.example/entry/chain"
 	"bramleywharf.example/entry/internal/engine"
@@ -39,7 +39,7 @@
 // Keeper hands over generations that run here or of which a replica is held here.
 type Keeper interface {
 	// Adopt hands a generation over to an instance that continues it.
-	Adopt(a wire.Adopt) wire.Message
+	Adopt(a wire.TakeOver) wire.Message
 }
 
 // Server runs calls that passed all filters.
@@ -48,12 +48,12 @@
 	relay  *relay.Relay
 	once   *once.Once
 	keeper Keeper
-	peers  peer.Net
-	sealer *token.Sealer
+	peers  peer.Client
+	sealer *cursor.Sealer
 }
 
 // New returns a server that runs generations and service calls with the given parts.
-func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Net, sealer *token.Sealer) *Server {
+func New(fleet Fleet, generations *relay.Relay, calls *once.Once, keeper Keeper, peers peer.Client, sealer *cursor.Sealer) *Server {
 	return &Server{fleet: fleet, relay: generations, once: calls, keeper: keeper, peers: peers, sealer: sealer}
 }
 
@@ -75,14 +75,14 @@
 
 // adoptLog takes a generation over from its origin and its keeper and returns its log. The origin has the more complete
 // one, but is waited for only originGrace longer than the keeper.
-func (s *Server) adoptLog(ctx context.Context, cursor token.Cursor) wire.Log {
+func (s *Server) adoptLog(ctx context.Context, position cursor.Cursor) wire.GenerationLog {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
-	request := wire.Adopt{Request: cursor.Request, By: s.fleet.Self().Name}
-	fromOrigin, fromKeeper := make(chan wire.Adopted, 1), make(chan wire.Adopted, 1)
-	go func() { fromOrigin <- s.askToAdopt(ctx, cursor.Origin, request) }()
-	go func() { fromKeeper <- s.askToAdopt(ctx, cursor.Keeper, request) }()
-	var keeperAnswer wire.Adopted
+	request := wire.TakeOver{Request: position.RequestID, By: s.fleet.Self().Name}
+	fromOrigin, fromKeeper := make(chan wire.TakeOverReply, 1), make(chan wire.TakeOverReply, 1)
+	go func() { fromOrigin <- s.askToAdopt(ctx, position.Origin, request) }()
+	go func() { fromKeeper <- s.askToAdopt(ctx, position.Backup, request) }()
+	var keeperAnswer wire.TakeOverReply
 	select {
 	case a := <-fromOrigin:
 		if hasContent(a) {
@@ -97,22 +97,22 @@
 	if hasContent(keeperAnswer) {
 		return keeperAnswer.Log
 	}
-	return wire.Log{}
+	return wire.GenerationLog{}
 }
 
 // askToAdopt asks one member, maybe this one, to hand a generation over.
-func (s *Server) askToAdopt(ctx context.Context, name string, request wire.Adopt) wire.Adopted {
+func (s *Server) askToAdopt(ctx context.Context, name string, request wire.TakeOver) wire.TakeOverReply {
 	var answer wire.Message
 	if name == "" {
-		return wire.Adopted{}
+		return wire.TakeOverReply{}
 	}
 	if name == s.fleet.Self().Name {
 		answer = s.keeper.Adopt(request)
 	} else if m, ok := s.fleet.View().Get(name); ok && m.State != member.Dead {
-		answer, _ = s.peers.Ask(ctx, m.PeerAddress, request)
+		answer, _ = s.peers.Call(ctx, m.PeerAddress, request)
 	}
-	adopted, _ := answer.(wire.Adopted)
-	return adopted
+	reply, _ := answer.(wire.TakeOverReply)
+	return reply
 }
 
 // generate runs a new generation.
@@ -128,16 +128,16 @@
 		MaxTokens:    r.MaxTokens,
 		Priority:     c.Limit.Priority,
 	}
-	cursor := token.Cursor{
-		Request: c.ID,
-		Model:   r.Model,
-		Adapter: r.Adapter,
-		Version: r.Version,
-		Seed:    r.Seed,
-		Max:     r.MaxTokens,
-		Origin:  s.fleet.Self().Name,
+	position := cursor.Cursor{
+		RequestID: c.ID,
+		Model:     r.Model,
+		Adapter:   r.Adapter,
+		Version:   r.Version,
+		Seed:      r.Seed,
+		MaxTokens: r.MaxTokens,
+		Origin:    s.fleet.Self().Name,
 	}
-	return s.relay.Run(ctx, relay.Job{Spec: spec, Policy: recoveryPolicy(c.Limit), Cursor: cursor, Held: c.Entered, Prompt: true}, c.Sink)
+	return s.relay.Run(ctx, relay.Job{Spec: spec, Policy: recoveryPolicy(c.Limit), Cursor: position, Held: c.Entered, Prompt: true}, c.Sink)
 }
 
 // invoke runs a call of a plain service; the caller may declare it non-idempotent even if the service does not.
@@ -169,7 +169,7 @@
 func (s *Server) lookup(r chain.Lookup, c chain.Call) chain.Answer {
 	view := s.fleet.View()
 	key := c.Organisation + "/" + r.Model
-	names := route.Spread(key, r.Domain, view.Open(), affinitySize)
+	names := route.Spread(key, r.Domain, view.Available(), affinitySize)
 	if prefix := pool.Prefix(r.Prompt); prefix != "" {
 		names = route.Rank(prefix, names)
 	}
@@ -183,32 +183,32 @@
 
 // resume continues a generation after the event that the caller received last.
 func (s *Server) resume(ctx context.Context, c chain.Call, r chain.Resume) chain.Answer {
-	cursor, err := s.sealer.Open(c.Organisation, r.LastEventID)
+	position, err := s.sealer.Open(c.Organisation, r.LastEventID)
 	if err != nil {
 		return chain.Refuse(deny.New(deny.KindMalformed, "%v", err))
 	}
-	log := s.adoptLog(ctx, cursor)
+	log := s.adoptLog(ctx, position)
 	if log.Prompt == "" {
 		log.Prompt = r.Prompt
 	}
 	spec := flow.Spec{
-		ID:           cursor.Request,
+		ID:           position.RequestID,
 		Organisation: c.Organisation,
-		Model:        cursor.Model,
-		Adapter:      cursor.Adapter,
-		Version:      cursor.Version,
+		Model:        position.Model,
+		Adapter:      position.Adapter,
+		Version:      position.Version,
 		Prompt:       log.Prompt,
-		Seed:         cursor.Seed,
-		MaxTokens:    cursor.Max,
+		Seed:         position.Seed,
+		MaxTokens:    position.MaxTokens,
 		Priority:     c.Limit.Priority,
 	}
-	cursor.Origin = s.fleet.Self().Name
-	cursor.Keeper = ""
-	knownTokens := max(0, min(len(log.Tokens), cursor.Offset-log.Offset))
+	position.Origin = s.fleet.Self().Name
+	position.Backup = ""
+	knownTokens := max(0, min(len(log.Tokens), position.Offset-log.Offset))
 	job := relay.Job{
 		Spec:   spec,
 		Policy: recoveryPolicy(c.Limit),
-		Cursor: cursor,
+		Cursor: position,
 		Base:   log.Offset,
 		Texts:  log.Tokens[:knownTokens:knownTokens],
 		Prompt: spec.Prompt != "",
@@ -220,19 +220,19 @@
 }
 
 // hasContent tells whether an answer holds the prompt or any tokens.
-func hasContent(a wire.Adopted) bool {
+func hasContent(a wire.TakeOverReply) bool {
 	return a.Found && (a.Log.Prompt != "" || len(a.Log.Tokens) > 0)
 }
 
 // receiveWithin receives an answer unless the timeout or the context ends first.
-func receiveWithin(ctx context.Context, answers <-chan wire.Adopted, timeout time.Duration) (wire.Adopted, bool) {
+func receiveWithin(ctx context.Context, answers <-chan wire.TakeOverReply, timeout time.Duration) (wire.TakeOverReply, bool) {
 	select {
 	case a := <-answers:
 		return a, true
 	case <-ctx.Done():
 	case <-time.After(timeout):
 	}
-	return wire.Adopted{}, false
+	return wire.TakeOverReply{}, false
 }
 
 // recoveryPolicy returns the recovery policy of a limit; the default is flow.Latency.
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -66,7 +66,7 @@
 type Watch struct {
 	*wait.Loop
 	store           store.Store
-	peers           peer.Net
+	peers           peer.Client
 	roles           Roles
 	log             log.Interface
 	snapshot        *cell.Cell[*conf.Snapshot]
@@ -79,7 +79,7 @@
 }
 
 // New returns a controller that Start must run, once the roles are known.
-func New(platform store.Store, peers peer.Net, logger log.Interface, set *metrics.Set) *Watch {
+func New(platform store.Store, peers peer.Client, logger log.Interface, set *metrics.Set) *Watch {
 	w := &Watch{
 		store:           platform,
 		peers:           peers,
@@ -132,7 +132,7 @@
 	current := w.snapshot.Load()
 	page := wire.ConfigPage{Revision: uint64(current.Revision())}
 	for _, e := range current.Entries(conf.Revision(request.After)) {
-		page.Objects = append(page.Objects, wire.ConfigObject{
+		page.Objects = append(page.Objects, wire.Object{
 			Kind:     e.Key.Kind,
 			Name:     e.Key.Name,
 			Revision: uint64(e.Revision),
@@ -170,7 +170,7 @@
 
 // apply applies objects to the snapshot, whose revision becomes that of the newest object.
 func (w *Watch) apply(objects []store.Object) {
-	entries, errs := decl.Entries(objects)
+	entries, errs := decl.DecodeEntries(objects)
 	for _, err := range errs {
 		w.rejectedObjects.Inc()
 		w.log.WithError(err).Error("invalid configuration object ignored")
@@ -202,7 +202,7 @@
 func (w *Watch) pullFrom(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	answer, err := w.peers.Ask(ctx, address, wire.PullConfig{After: w.Revision()})
+	answer, err := w.peers.Call(ctx, address, wire.PullConfig{After: w.Revision()})
 	if err != nil {
 		w.log.WithError(err).Debug("cannot pull configuration from a peer; waiting for a heartbeat with a newer revision")
 		return
@@ -237,11 +237,11 @@
 	for ctx.Err() == nil {
 		elected := w.roles.Elected("watch", watcherCount)
 		if !elected && time.Now().After(watchUntil) && !w.roles.Elected("watch", watcherCountAt(w.Age())) {
-			wait.For(ctx, roleCheckInterval/2+rand.N(roleCheckInterval))
+			wait.Sleep(ctx, roleCheckInterval/2+rand.N(roleCheckInterval))
 			continue
 		}
 		if err := w.pollPlatform(ctx); err != nil {
-			wait.For(ctx, backoff/2+rand.N(backoff))
+			wait.Sleep(ctx, backoff/2+rand.N(backoff))
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
--- a/entry/picker/choose.go
+++ b/entry/picker/choose.go
@@ -137,9 +137,9 @@
 // IsSound reports whether a target is neither removed, restarted, draining nor suspect.
 func (p *Picker) IsSound(target site.Target) bool {
 	t := p.targetTable.Load()
-	current, ok := t.roster.Get(target.Name)
-	return ok && !current.Leaving && current.Follows(target) &&
-		!t.states[target.Name].healthStatus.Load().Suspect(time.Now())
+	current, ok := t.targetSet.Get(target.Name)
+	return ok && !current.Leaving && current.IsSameStart(target) &&
+		!t.states[target.Name].healthStatus.Load().IsSuspect(time.Now())
 }
 
 // Sound picks a given target for a stream if IsSound holds for it.
@@ -148,7 +148,7 @@
 		return nil, false
 	}
 	t := p.targetTable.Load()
-	current, ok := t.roster.Get(target.Name)
+	current, ok := t.targetSet.Get(target.Name)
 	if !ok {
 		return nil, false
 	}
@@ -192,24 +192,24 @@
 
 // Failed records that the target failed the request although it was reachable.
 func (k *Pick) Failed() {
-	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithFailure(time.Now()) })
+	k.targetState.updateHealth(func(e health.Estimate) health.Estimate { return e.WithFailure(time.Now()) })
 }
 
 // Gone records that another target answered at the address, so that this one has ended. It returns whether that was
 // not known before.
 func (k *Pick) Gone() bool {
-	alreadyGone := k.targetState.healthStatus.Load().Gone()
-	if !alreadyGone {
+	wasReplaced := k.targetState.healthStatus.Load().IsReplaced()
+	if !wasReplaced {
 		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "address": k.Target.Address, "revision": k.Target.Revision}).Warn("another target answers at the address; this one gets no more requests")
 	}
-	k.targetState.updateHealth(health.Belief.WithEnd)
-	return !alreadyGone
+	k.targetState.updateHealth(health.Estimate.WithReplacement)
+	return !wasReplaced
 }
 
 // Heard records that the target sent something, so that it is no longer suspect.
 func (k *Pick) Heard() {
-	if k.targetState.healthStatus.Load().Suspect(time.Now()) {
-		k.targetState.updateHealth(health.Belief.WithLife)
+	if k.targetState.healthStatus.Load().IsSuspect(time.Now()) {
+		k.targetState.updateHealth(health.Estimate.WithSignOfLife)
 	}
 }
 
@@ -222,8 +222,8 @@
 func (k *Pick) Lost(cause string) {
 	k.picker.targetsLost.Inc()
 	k.picker.domainLostAt.Store(k.Target.Domain, time.Now())
-	wasSuspect := k.targetState.healthStatus.Load().Suspect(time.Now())
-	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithLoss(time.Now()) })
+	wasSuspect := k.targetState.healthStatus.Load().IsSuspect(time.Now())
+	k.targetState.updateHealth(func(e health.Estimate) health.Estimate { return e.WithLoss(time.Now()) })
 	if !wasSuspect {
 		k.picker.log.WithFields(log.Fields{"target": k.Target.Name, "domain": k.Target.Domain, "cause": cause}).Warn("target is suspect")
 	}
@@ -247,15 +247,15 @@
 
 // Succeeded records a complete answer.
 func (k *Pick) Succeeded(took time.Duration) {
-	k.targetState.updateHealth(func(b health.Belief) health.Belief { return b.WithSuccess(time.Now(), took) })
+	k.targetState.updateHealth(func(e health.Estimate) health.Estimate { return e.WithSuccess(time.Now(), took) })
 }
 
 // cost returns the cost of what all instances run on the target, and of the replicas that it keeps for them.
 func (s *targetState) cost() float64 {
 	remoteLoad := s.remoteLoad.Load()
-	return float64(s.streams.Load()+int64(remoteLoad.Flying)) +
-		costPerUnreadToken*float64(s.unreadTokens.Load()+int64(remoteLoad.Tokens)) +
-		costPerReplica*float64(s.replicas.Load()+int64(remoteLoad.Copies))
+	return float64(s.streams.Load()+int64(remoteLoad.Streams)) +
+		costPerUnreadToken*float64(s.unreadTokens.Load()+int64(remoteLoad.PendingPromptTokens)) +
+		costPerReplica*float64(s.replicas.Load()+int64(remoteLoad.Replicas))
 }
 
 // hasReplicaRoom reports whether the target has memory for one more replica, assuming that each stream and replica
@@ -265,7 +265,7 @@
 		return true
 	}
 	remoteLoad := s.remoteLoad.Load()
-	promptsHeld := s.streams.Load() + s.replicas.Load() + int64(remoteLoad.Flying+remoteLoad.Copies) + 1
+	promptsHeld := s.streams.Load() + s.replicas.Load() + int64(remoteLoad.Streams+remoteLoad.Replicas) + 1
 	return float64(promptsHeld*int64(want.Prompt)) <= replicaMemoryShare*float64(want.Memory)
 }
 
@@ -336,15 +336,15 @@
 // there is none, the suspect ones that have not ended.
 func candidatesFor(t targetTable, want Want) []*site.Target {
 	now := time.Now()
-	open := t.roster.Open(want.Service)
-	healthy := make([]*site.Target, 0, len(open))
+	available := t.targetSet.Available(want.Service)
+	healthy := make([]*site.Target, 0, len(available))
 	var suspects []*site.Target
-	for i := range open {
-		target := &open[i]
+	for i := range available {
+		target := &available[i]
 		healthStatus := t.states[target.Name].healthStatus.Load()
 		switch {
-		case want.Avoid[target.Name] || healthStatus.Gone():
-		case healthStatus.Suspect(now):
+		case want.Avoid[target.Name] || healthStatus.IsReplaced():
+		case healthStatus.IsSuspect(now):
 			suspects = append(suspects, target)
 		default:
 			healthy = append(healthy, target)
--- a/entry/picker/picker.go
+++ b/entry/picker/picker.go
@@ -43,13 +43,13 @@
 	unreadTokens atomic.Int64                    // unreadTokens counts the prompt tokens still to be read.
 	replicas     atomic.Int64                    // replicas counts the replicas of this instance's streams.
 	remoteLoad   atomic.Pointer[wire.TargetLoad] // remoteLoad is the sum of what all other instances reported.
-	healthStatus atomic.Pointer[health.Belief]
+	healthStatus atomic.Pointer[health.Estimate]
 }
 
-// targetTable is the roster with the state of each target by name; its maps are never changed after construction.
+// targetTable is the set of targets with the state of each by name; its maps are never changed after construction.
 type targetTable struct {
-	roster *site.Roster
-	states map[string]*targetState
+	targetSet *site.TargetSet
+	states    map[string]*targetState
 }
 
 // Picker tracks the targets and chooses among them.
@@ -70,12 +70,12 @@
 	reconcileMu  sync.Mutex
 
 	mu               sync.Mutex
-	instance         string                // instance is the name under which this instance reports its load.
-	sequence         uint64                // sequence is that of the last load report.
-	received         map[string]loadReport // received maps each other instance to its newest load report.
-	placements       map[string]placement  // placements maps the sessions of this instance to their targets.
-	remotePlacements map[string]string     // remotePlacements maps the sessions of other instances to their targets.
-	remoteUsage      map[string]wire.Usage // remoteUsage maps services to the recent requests of other instances.
+	instance         string                    // instance is the name under which this instance reports its load.
+	sequence         uint64                    // sequence is that of the last load report.
+	received         map[string]receivedReport // received maps each other instance to its newest load report.
+	placements       map[string]placement      // placements maps the sessions of this instance to their targets.
+	remotePlacements map[string]string         // remotePlacements maps sessions of other instances to targets.
+	remoteUsage      map[string]wire.Usage     // remoteUsage maps services to the recent requests of other instances.
 }
 
 // New returns a picker that follows source and calls onRemoved with the address of each target that was removed,
@@ -85,15 +85,15 @@
 		source:      source,
 		onRemoved:   onRemoved,
 		log:         logger,
-		targetTable: cell.New(targetTable{roster: (&site.Roster{}).WithTargets(nil, time.Now(), 0)}),
+		targetTable: cell.New(targetTable{targetSet: (&site.TargetSet{}).WithTargets(nil, time.Now(), 0)}),
 		successors:  cell.New(site.Successors{}),
 		startedAt:   time.Now(),
-		received:    make(map[string]loadReport),
+		received:    make(map[string]receivedReport),
 		placements:  make(map[string]placement),
 		targetsLost: set.GetOrCreateCounter("bramleywharf_targets_lost_total"),
 	}
 	p.reportTTL.Store(int64(minReportTTL))
-	set.NewGauge("bramleywharf_targets", func() float64 { return float64(p.targetTable.Load().roster.Len()) })
+	set.NewGauge("bramleywharf_targets", func() float64 { return float64(p.targetTable.Load().targetSet.Len()) })
 	set.NewGauge("bramleywharf_targets_suspect", p.suspectCount)
 	p.Loop = wait.Start(p.loop)
 	return p
@@ -105,7 +105,7 @@
 		changed := p.source.Changed()
 		p.reconcile()
 		var expiryCheck <-chan time.Time
-		if p.targetTable.Load().roster.Lapsed() || p.successors.Load().Len() > 0 {
+		if p.targetTable.Load().targetSet.HasMissing() || p.successors.Load().Len() > 0 {
 			expiryCheck = time.After(expiryCheckInterval)
 		}
 		select {
@@ -130,13 +130,13 @@
 		targets, s = s.Apply(targets, time.Now(), settled)
 		return s
 	})
-	var old, next *site.Roster
+	var old, next *site.TargetSet
 	p.targetTable.Update(func(t targetTable) targetTable {
-		old, next = t.roster, t.roster.WithTargets(targets, time.Now(), grace)
-		return targetTable{roster: next, states: states(t, next)}
+		old, next = t.targetSet, t.targetSet.WithTargets(targets, time.Now(), grace)
+		return targetTable{targetSet: next, states: states(t, next)}
 	})
 	p.sumsStale.Store(true) // New targets have no remote load yet.
-	for name := range next.Moved(old) {
+	for name := range next.EndedSince(old) {
 		previous, _ := old.Get(name)
 		p.onRemoved(previous.Address)
 		p.markEnded(name, time.Now())
@@ -146,7 +146,7 @@
 }
 
 // logChanges logs targets that were added or have started to drain.
-func (p *Picker) logChanges(old, next *site.Roster) {
+func (p *Picker) logChanges(old, next *site.TargetSet) {
 	for _, t := range next.All() {
 		previous, known := old.Get(t.Name)
 		fields := log.Fields{"target": t.Name, "address": t.Address, "service": t.Service, "domain": t.Domain, "revision": t.Revision}
@@ -159,17 +159,17 @@
 	}
 }
 
-// states returns the states of a roster's targets. A target that was not restarted keeps its previous state.
-func states(previous targetTable, roster *site.Roster) map[string]*targetState {
-	next := make(map[string]*targetState, roster.Len())
-	for _, target := range roster.All() {
+// states returns the states of the targets of a set. A target that was not restarted keeps its previous state.
+func states(previous targetTable, targetSet *site.TargetSet) map[string]*targetState {
+	next := make(map[string]*targetState, targetSet.Len())
+	for _, target := range targetSet.All() {
 		old, ok := previous.states[target.Name]
-		if ok && target.Follows(old.target) {
+		if ok && target.IsSameStart(old.target) {
 			next[target.Name] = old
 			continue
 		}
 		fresh := &targetState{target: target}
-		fresh.healthStatus.Store(&health.Belief{})
+		fresh.healthStatus.Store(&health.Estimate{})
 		fresh.remoteLoad.Store(&wire.TargetLoad{})
 		next[target.Name] = fresh
 	}
@@ -181,7 +181,7 @@
 	now := time.Now()
 	count := 0
 	for _, s := range p.targetTable.Load().states {
-		if s.healthStatus.Load().Suspect(now) {
+		if s.healthStatus.Load().IsSuspect(now) {
 			count++
 		}
 	}
@@ -189,6 +189,6 @@
 }
 
 // updateHealth replaces the health of a target by the result of change, which may be called more than once.
-func (s *targetState) updateHealth(change func(health.Belief) health.Belief) {
-	cell.Swap(&s.healthStatus, func(b health.Belief) (health.Belief, bool) { return change(b), true })
+func (s *targetState) updateHealth(change func(health.Estimate) health.Estimate) {
+	cell.TryUpdate(&s.healthStatus, func(e health.Estimate) (health.Estimate, bool) { return change(e), true })
 }
--- a/entry/send/send.go
+++ b/entry/send/send.go
@@ -109,7 +109,7 @@
 	Counts       Counts
 	settings     Settings
 	startedAt    time.Time
-	paces        sync.Map // paces maps each service to an *atomic.Pointer[flow.Pace].
+	paces        sync.Map // paces maps each service to an *atomic.Pointer[flow.PauseEstimate].
 	retryWindows sync.Map // retryWindows maps each service to an *atomic.Pointer[retry.Window].
 }
 
@@ -159,7 +159,7 @@
 
 // Request counts a caller's request to a service, on which the number of allowed retries depends.
 func (s *Sender) Request(service string) {
-	cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
+	cell.TryUpdate(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
 		return w.WithRequest(time.Since(s.startedAt)), true
 	})
 }
@@ -167,14 +167,14 @@
 // Repeat counts one retry of a request to a service and returns true, or returns false when no retry is left in this
 // instance's share of the limit and in what the fleet leaves unused.
 func (s *Sender) Repeat(service string) bool {
-	ok := cell.Swap(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
+	ok := cell.TryUpdate(s.retryWindow(service), func(w retry.Window) (retry.Window, bool) {
 		now := time.Since(s.startedAt)
 		ownShare := s.settings.Retries()
-		if next, ok := w.WithRepeat(now, ownShare); ok {
+		if next, ok := w.WithRetry(now, ownShare); ok {
 			return next, true
 		}
 		used := s.Picker.Used(service)
-		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Repeats: used.Repeats, Fleet: s.settings.Fleet, Own: ownShare})
+		return w.WithOverdraft(now, retry.Overdraft{Requests: used.Requests, Retries: used.Retries, Fleet: s.settings.Fleet, Own: ownShare})
 	})
 	if ok {
 		s.Counts.Repeats.Inc()
@@ -188,22 +188,22 @@
 func (s *Sender) recentUsage() []wire.Usage {
 	var recentUsage []wire.Usage
 	s.retryWindows.Range(func(service, w any) bool {
-		requests, repeats := w.(*atomic.Pointer[retry.Window]).Load().Count(time.Since(s.startedAt))
-		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Repeats: repeats})
+		requests, retries := w.(*atomic.Pointer[retry.Window]).Load().Counts(time.Since(s.startedAt))
+		recentUsage = append(recentUsage, wire.Usage{Service: service.(string), Requests: requests, Retries: retries})
 		return true
 	})
 	return recentUsage
 }
 
 // Pace returns the estimate of the pauses between events in a service's streams.
-func (s *Sender) Pace(service string) flow.Pace {
-	return *pointerFor[flow.Pace](&s.paces, service).Load()
+func (s *Sender) Pace(service string) flow.PauseEstimate {
+	return *pointerFor[flow.PauseEstimate](&s.paces, service).Load()
 }
 
 // Learn replaces the estimate of the pauses in a service's streams by the result of change, which may be called more
 // than once.
-func (s *Sender) Learn(service string, change func(flow.Pace) flow.Pace) {
-	cell.Swap(pointerFor[flow.Pace](&s.paces, service), func(p flow.Pace) (flow.Pace, bool) { return change(p), true })
+func (s *Sender) Learn(service string, change func(flow.PauseEstimate) flow.PauseEstimate) {
+	cell.TryUpdate(pointerFor[flow.PauseEstimate](&s.paces, service), func(p flow.PauseEstimate) (flow.PauseEstimate, bool) { return change(p), true })
 }
 
 // retryWindow returns the counts of recent requests and retries of a service.
--- a/wharfctl/internal/cmds/root.go
+++ b/wharfctl/internal/cmds/root.go
@@ -68,7 +68,7 @@
 		return exitRejected
 	case errors.Is(err, store.ErrConflict):
 		return exitConflict
-	case errors.Is(err, store.ErrUncertain), errors.Is(err, store.ErrDown):
+	case errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, store.ErrUnreachable):
 		return exitNoAnswer
 	case errors.Is(err, errUsage), errors.Is(err, opts.ErrInvalid):
 		return exitUsage
@@ -110,7 +110,7 @@
 // checkFlags checks the flags that all subcommands share.
 func (a *app) checkFlags() error {
 	var c opts.Checks
-	c.Need(a.format == formatTable || a.format == formatJSON, "--output %q must be table or json", a.format)
+	c.Require(a.format == formatTable || a.format == formatJSON, "--output %q must be table or json", a.format)
 	return c.Err()
 }
 
--- a/wharfctl/internal/cmds/sheet.go
+++ b/wharfctl/internal/cmds/sheet.go
@@ -110,7 +110,7 @@
 			if base >= 0 && uint64(base) != p.Base {
 				return fmt.Errorf("the sheet of %s is at revision %d, not %d; look at it with dry-run: %w", p.Member, p.Base, base, store.ErrConflict)
 			}
-			r, err := trail.Change(ctx, a.actor, p.object, p.Changes)
+			r, err := trail.Apply(ctx, a.actor, p.object, p.Changes)
 			if errors.Is(err, store.ErrConflict) {
 				return a.explainConflict(ctx, s, args, err)
 			}
@@ -193,7 +193,7 @@
 
 // propose reads and checks a sheet and compares it with the member's current one.
 func propose(ctx context.Context, s store.Store, member, file string) (proposal, error) {
-	if !decl.ValidName(member) {
+	if !decl.IsValidName(member) {
 		return proposal{}, fmt.Errorf("%w: member %q is not a valid name", errUsage, member)
 	}
 	text, err := readInput(file)
@@ -209,7 +209,7 @@
 		knownOrganisations[o.Name] = knownOrganisations[o.Name] || o.Kind == conf.KindOrganisation && !o.Deleted
 	}
 	next, faults := sheet.Parse(text, func(name string) bool { return knownOrganisations[name] })
-	entries, _ := decl.Entries(page.Objects)
+	entries, _ := decl.DecodeEntries(page.Objects)
 	memberByOrganisation := otherMembersByOrganisation(entries, member)
 	// Limits begin in row 3, below the date and the header.
 	for i, l := range next.Limits {
@@ -224,7 +224,7 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return proposal{}, err
 	}
-	if err := sheet.Admit(current, next); err != nil {
+	if err := sheet.CheckNotOlder(current, next); err != nil {
 		return proposal{}, fmt.Errorf("%w: %w", errRejected, err)
 	}
 	return newProposal(member, o, current, next)
@@ -249,7 +249,7 @@
 	var text []byte
 	var err error
 	if name == "-" {
-		text, err = io.ReadAll(io.LimitReader(os.Stdin, sheet.MaxSize+1))
+		text, err = io.ReadAll(io.LimitReader(os.Stdin, sheet.MaxBytes+1))
 	} else {
 		text, err = os.ReadFile(name)
 	}
@@ -274,7 +274,7 @@
 	if err != nil {
 		return o, conf.Sheet{}, fmt.Errorf("read the sheet of %s: %w", member, err)
 	}
-	value, err := decl.Value(conf.KindSheet, member, o.Value)
+	value, err := decl.DecodeValue(conf.KindSheet, member, o.Value)
 	if err != nil {
 		return o, conf.Sheet{}, err
 	}
